--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -13,7 +13,7 @@
 use crate::engine::{AttemptReport, Engine, EngineEvent};
 use crate::latch::Latch;
 use crate::request::{FinalAnswer, Row, Statement};
-use crate::session_reads::{RequestSession, SessionReads};
+use crate::session_consistency::{RequestSession, SessionConsistency};
 
 /// Executes attempts on servers.
 ///
@@ -151,9 +151,9 @@
     }
 
     /// The sessions' reads and this attempt's session, where sessions are tracked.
-    fn tracked_session(&self) -> Option<(&SessionReads, &RequestSession)> {
+    fn tracked_session(&self) -> Option<(&SessionConsistency, &RequestSession)> {
         self.engine
-            .session_reads
+            .session_consistency
             .as_ref()
             .zip(self.session.as_ref())
     }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -95,7 +95,7 @@
         let server_report = self
             .server_report(report.reported, held.write && answered)
             .filter(|_| !(held.write && plant("token-forgotten")));
-        if let (Some(reads), Some(session)) = (&self.session_reads, &open.session) {
+        if let (Some(reads), Some(session)) = (&self.session_consistency, &open.session) {
             reads.on_attempt_finished(session, now, report.outcome, server_report);
         }
         open.possibly_executed |= !report.outcome.never_executed();
@@ -144,7 +144,7 @@
 
     /// What replica holders are told of a write that may have been executed by now.
     fn possibly_executed(&self, now: Ticks) -> WriteOutcome {
-        let reads = self.session_reads.as_ref();
+        let reads = self.session_consistency.as_ref();
         WriteOutcome::PossiblyExecuted(reads.map_or(now, |reads| reads.position_at(now)))
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -34,7 +34,7 @@
     FinalAnswer, PendingRequest, Rejection, RequestHeader, RequiredPosition, Row, Statement,
 };
 use crate::request_table::RequestTable;
-use crate::session_reads::SessionReads;
+use crate::session_consistency::SessionConsistency;
 use crate::timers::Timers;
 
 pub(crate) const TICKS_PER_MS: u64 = 10;
@@ -131,7 +131,7 @@
     /// Counts of what is received, sent and answered.
     pub metrics: Rc<Metrics>,
     /// None where sessions are not tracked beyond what the router remembers.
-    pub session_reads: Option<SessionReads>,
+    pub session_consistency: Option<SessionConsistency>,
     pub(crate) log: slog::Logger,
 }
 
@@ -145,8 +145,8 @@
     ) -> Rc<Self> {
         let clock = Clock::new();
         let seed = settings.routing.seed;
-        let session_reads =
-            session_tracking.map(|tracking| SessionReads::new(tracking, seed, clock.now()));
+        let session_consistency =
+            session_tracking.map(|tracking| SessionConsistency::new(tracking, seed, clock.now()));
         Rc::new(Engine {
             router: RefCell::new(Router::new(settings.routing.clone())),
             inbox: Inbox::default(),
@@ -157,7 +157,7 @@
             collaborators: Collaborators::default(),
             settings,
             metrics,
-            session_reads,
+            session_consistency,
             log,
         })
     }
@@ -169,9 +169,9 @@
 
     /// Sets where this gateway's state is replicated from now on.
     pub fn set_replicated_state(&self, replicated_state: Rc<dyn ReplicatedState>) {
-        self.session_reads
+        self.session_consistency
             .iter()
-            .for_each(SessionReads::set_replicated);
+            .for_each(SessionConsistency::set_replicated);
         *self.collaborators.replicated_state.borrow_mut() = Some(replicated_state);
     }
 
--- a/crates/engine/src/intake.rs
+++ b/crates/engine/src/intake.rs
@@ -94,7 +94,7 @@
         let answer_deadline = self.clock.instant(deadline + self.settings.answer_slack);
         self.admit(&resolved, client, answer_deadline)?;
         let has_token = matches!(header.required_position, Some(RequiredPosition::Token(_)));
-        if has_token && self.session_reads.is_none() {
+        if has_token && self.session_consistency.is_none() {
             return Err(invalid("after: expected a number from 0 to 1e13".into()));
         }
         let class_index = resolved.class;
@@ -239,7 +239,7 @@
             Some(RequiredPosition::Token(token)) => Some(token.to_owned()),
             _ => None,
         };
-        let session_number = self.session_reads.as_ref().map_or(0, |reads| {
+        let session_number = self.session_consistency.as_ref().map_or(0, |reads| {
             reads.session_number(header.set, header.session_key)
         });
         PreparingRequest {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod replicated_state;
 mod request;
 mod request_table;
-pub mod session_reads;
+pub mod session_consistency;
 mod timers;
 
 /// Bytes that each direction of a connection may hold without a reservation.
--- a/crates/engine/src/metrics.rs
+++ b/crates/engine/src/metrics.rs
@@ -38,7 +38,7 @@
     /// Connections to servers.
     pub servers: ConnectionMetrics,
     /// Endpoint lists received.
-    pub lists: Count,
+    pub lists_received: Count,
     /// Calls for endpoint lists that failed.
     pub list_failures: Count,
     /// Failed calls that discovery rejected.
@@ -46,7 +46,7 @@
     /// Failed calls that discovery never answered.
     pub list_timeouts: Count,
     /// Messages of clients that were rejected.
-    pub bad_messages: Count,
+    pub rejected_messages: Count,
 }
 
 /// Counters of the connections of one side.
@@ -119,11 +119,11 @@
             ("failed", &self.failed),
             ("gone", &self.disconnected),
             ("dispatched", &self.attempts),
-            ("lists", &self.lists),
+            ("lists", &self.lists_received),
             ("list_failures", &self.list_failures),
             ("list_refusals", &self.list_refusals),
             ("list_timeouts", &self.list_timeouts),
-            ("bad_messages", &self.bad_messages),
+            ("bad_messages", &self.rejected_messages),
         ];
         for (name, count) in finals {
             let _ = write!(out, "{name}={} ", count.get());
--- a/crates/engine/src/preparation.rs
+++ b/crates/engine/src/preparation.rs
@@ -10,7 +10,7 @@
 };
 use crate::request::{FinalAnswer, RequestHeader, RequestStage};
 use crate::request_table::PreparingRequest;
-use crate::session_reads::RequestArrival;
+use crate::session_consistency::RequestArrival;
 
 /// Replica holders are asked for at most this part of the time that a client still waits.
 const REPLICA_WAIT_DIVISOR: Ticks = 8;
@@ -24,7 +24,7 @@
     ) {
         let replicated_state = self
             .replicated_state()
-            .filter(|_| self.session_reads.is_some());
+            .filter(|_| self.session_consistency.is_some());
         let Some(replicated_state) = replicated_state.filter(|_| self.asks_replicas(&preparing))
         else {
             return self.route(preparing, None);
@@ -44,7 +44,7 @@
             Consistency::Write => true,
             Consistency::Session => {
                 let now = self.clock.now();
-                let reads = self.session_reads.as_ref();
+                let reads = self.session_consistency.as_ref();
                 preparing.token.is_none()
                     && reads.is_some_and(|r| r.needs_position(preparing.session_number, now))
             }
@@ -61,7 +61,7 @@
         let Idempotency::IdempotentByKey { window, scope } = preparing.open.idempotency else {
             return None;
         };
-        let reads = self.session_reads.as_ref()?;
+        let reads = self.session_consistency.as_ref()?;
         let key = header.idempotency_key;
         Some(IdempotencyClaim {
             key: reads.idempotency_number(header.tenant.unwrap_or_default(), key),
@@ -178,7 +178,7 @@
             token,
         } = preparing;
         let now = self.clock.now();
-        open.session = self.session_reads.as_ref().and_then(|reads| {
+        open.session = self.session_consistency.as_ref().and_then(|reads| {
             reads.on_request(&RequestArrival {
                 consistency,
                 session: session_number,
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -12,7 +12,7 @@
 use crate::client_connections::ClientConnection;
 use crate::latch::Latch;
 use crate::request::{FinalAnswer, RequestStage, Statement};
-use crate::session_reads::RequestSession;
+use crate::session_consistency::RequestSession;
 
 /// The attempts of a request.
 #[derive(Default)]
--- a/crates/engine/src/session_reads.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -60,7 +60,7 @@
 pub type Persister = Box<dyn Fn(&mut dyn Iterator<Item = SessionPosition>)>;
 
 /// What the sessions' reads must see.
-pub struct SessionReads {
+pub struct SessionConsistency {
     book: RefCell<SessionTracker>,
     keys: Keys,
     secret: u64,
@@ -73,14 +73,14 @@
 /// How often the two clocks are compared.
 const CLOCK_CHECK_INTERVAL: Ticks = 10_000;
 
-impl SessionReads {
+impl SessionConsistency {
     /// Starts the tracking of sessions.
-    pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionReads {
+    pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
         if plant("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
         let book = RefCell::new(SessionTracker::new(tracking.config, now, seed));
-        SessionReads {
+        SessionConsistency {
             book,
             keys: tracking.keys,
             secret: tracking.hash_secret,
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -104,7 +104,7 @@
 
     /// Writes an error after which the connection goes on.
     pub(super) async fn refuse(&mut self, code: &str, why: &str, ready: bool) -> io::Result<()> {
-        increment(&self.exchange.metrics.bad_messages);
+        increment(&self.exchange.metrics.rejected_messages);
         let mut out = Vec::new();
         messages::error(&mut out, false, code, why, None);
         if ready {
@@ -116,7 +116,7 @@
 
     /// Writes a fatal error and closes the connection.
     pub(super) async fn close_with_error(&mut self, code: &str, why: &str) -> io::Result<()> {
-        increment(&self.exchange.metrics.bad_messages);
+        increment(&self.exchange.metrics.rejected_messages);
         let mut out = Vec::new();
         messages::error(&mut out, true, code, why, None);
         self.write(&out).await?;
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -229,7 +229,7 @@
 
     /// Gives a list to the exchange.
     fn on_list(&mut self, list: &EndpointList) {
-        increment(&self.exchange.metrics.lists);
+        increment(&self.exchange.metrics.lists_received);
         self.poll_log.answered(list);
         if list.full || !list.entries.is_empty() {
             let update = if list.full {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -229,7 +229,7 @@
             "list_age_ms" => age.map(|age| age.as_millis() as u64),
             "list_ends_in_ms" => left.map(|left| left.as_millis() as u64));
         slog::info!(self.log, "peers"; "all" => self.peers.summary());
-        if let Some(ledger) = &self.exchange.session_reads {
+        if let Some(ledger) = &self.exchange.session_consistency {
             slog::info!(self.log, "sessions"; "all" => ledger.summary());
         }
         if let Some(member) = &self.member {
--- a/crates/gateway/src/persistence.rs
+++ b/crates/gateway/src/persistence.rs
@@ -19,7 +19,7 @@
     log: &slog::Logger,
 ) -> Option<Rc<GroupCommit>> {
     let (path, loses) = follow.disk.as_ref()?;
-    let ledger = exchange.session_reads.as_ref()?;
+    let ledger = exchange.session_consistency.as_ref()?;
     let opened =
         Directory::open(path).and_then(|folder| SegmentedLog::open(folder, LogLimits::default()));
     let (store, read) = match opened {
