--- a/crates/peer-transport/src/replication_runtime.rs
+++ b/crates/peer-transport/src/replication_runtime.rs
@@ -325,10 +325,12 @@
 
     fn on_incarnation_seen(self: Rc<Self>, name: &str, incarnation: Incarnation) {
         let Incarnation { number, storage_id } = incarnation;
-        let actions =
-            self.replicator
-                .borrow_mut()
-                .on_member_seen(self.now(), name, number, storage_id);
+        let actions = self.replicator.borrow_mut().on_incarnation_observed(
+            self.now(),
+            name,
+            number,
+            storage_id,
+        );
         self.perform(actions);
     }
 
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -111,7 +111,7 @@
     }
 
     /// Takes in that an incarnation of a member exists.
-    pub(crate) fn on_member_seen(
+    pub(crate) fn on_incarnation_observed(
         &mut self,
         now: Ticks,
         name: &str,
--- a/crates/replication/src/replicator.rs
+++ b/crates/replication/src/replicator.rs
@@ -202,7 +202,9 @@
     fn observe_member(&mut self, now: Ticks, name: &str, incarnation: u64, memory: u64) {
         let state = &mut self.state;
         let before = state.leases.incarnation(name);
-        let change = state.leases.on_member_seen(now, name, incarnation, memory);
+        let change = state
+            .leases
+            .on_incarnation_observed(now, name, incarnation, memory);
         if before > 0 && before < incarnation {
             state.on_writer_ended(writer_id(name, before));
         }
@@ -210,7 +212,7 @@
     }
 
     /// Takes in an incarnation of a member that membership has heard of.
-    pub fn on_member_seen(
+    pub fn on_incarnation_observed(
         &mut self,
         now: Ticks,
         name: &str,
