--- a/crates/peer-transport/src/replication_runtime.rs
+++ b/crates/peer-transport/src/replication_runtime.rs
@@ -86,7 +86,7 @@
             LocalMember {
                 name: info.name.clone(),
                 incarnation: info.incarnation.number,
-                memory: info.incarnation.storage_id,
+                storage_id: info.incarnation.storage_id,
             }
         });
         let started_unix = unix();
--- a/crates/peer-transport/tests/wire_bytes.rs
+++ b/crates/peer-transport/tests/wire_bytes.rs
@@ -288,11 +288,11 @@
 }
 
 fn replication(body: CopyBody) -> Message {
-    let (name, life, memory) = ("n1".to_owned(), 8, 300);
+    let (name, life, storage_id) = ("n1".to_owned(), 8, 300);
     let envelope = CopyEnvelope {
         sender: name,
         incarnation: life,
-        memory,
+        storage_id,
         layout_version: 4,
         request_id: 90_000,
         message: body,
--- a/crates/replication/benches/plain.rs
+++ b/crates/replication/benches/plain.rs
@@ -36,7 +36,7 @@
             let me = LocalMember {
                 name: format!("n{n}"),
                 incarnation: 1,
-                memory: n as u64 + 1,
+                storage_id: n as u64 + 1,
             };
             Replicator::new(BEGAN, me, ReplicationConfig::default(), None)
         };
--- a/crates/replication/src/action.rs
+++ b/crates/replication/src/action.rs
@@ -16,7 +16,7 @@
     /// The incarnation of the process.
     pub incarnation: u64,
     /// The number of the durable state that it holds.
-    pub memory: u64,
+    pub storage_id: u64,
 }
 
 /// What outlives the process beside its records.
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -68,7 +68,7 @@
     }
 
     /// How many comparisons are under way or still to come.
-    pub(crate) fn remaining(&self) -> usize {
+    pub(crate) fn remaining_comparisons(&self) -> usize {
         let comparing = self.job.as_ref().is_some_and(RepairJob::is_comparison);
         self.requested.len() + usize::from(comparing)
     }
@@ -137,7 +137,7 @@
         let expired_after = state.leases.expired_for_all_after();
         match state
             .layout_history
-            .sync_status(now, &local.name, local.memory, expired_after)
+            .sync_status(now, &local.name, local.storage_id, expired_after)
         {
             SyncStatus::Syncing => return,
             SyncStatus::InSync => {}
@@ -163,8 +163,8 @@
             return Some(RepairJob::new(state, peer, stage));
         }
         let name = self.next_comparison(state, now)?;
-        let memory = state.leases.memory(&name);
-        let peer = ReplicaId { name, memory };
+        let storage_id = state.leases.memory(&name);
+        let peer = ReplicaId { name, storage_id };
         Some(RepairJob::new(state, peer, RepairStage::Branches))
     }
 
@@ -262,6 +262,6 @@
     let pending = state.layout_history.pending_transfers(&state.local.name);
     pending.into_iter().find(|peer| {
         state.leases.in_touch(now, &peer.name, version)
-            && state.leases.memory(&peer.name) == peer.memory
+            && state.leases.memory(&peer.name) == peer.storage_id
     })
 }
--- a/crates/replication/src/layout_history.rs
+++ b/crates/replication/src/layout_history.rs
@@ -327,6 +327,6 @@
 fn replica_id(holder: &ReplicaHolder) -> ReplicaId {
     ReplicaId {
         name: holder.name.clone(),
-        memory: holder.storage_id,
+        storage_id: holder.storage_id,
     }
 }
--- a/crates/replication/src/local_sessions.rs
+++ b/crates/replication/src/local_sessions.rs
@@ -99,7 +99,7 @@
     }
 
     /// A write of the session was acknowledged by a quorum.
-    pub fn on_quorum(&mut self, session: u64) {
+    pub fn on_quorum_acknowledged(&mut self, session: u64) {
         if let Some(entry) = self.sessions.get_mut(&session) {
             entry.rejected_since = None;
         }
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -103,7 +103,7 @@
     pub(crate) fn local_replica(&self) -> ReplicaId {
         ReplicaId {
             name: self.local.name.clone(),
-            memory: self.local.memory,
+            storage_id: self.local.storage_id,
         }
     }
 
@@ -117,7 +117,7 @@
         let envelope = Envelope {
             sender: self.local.name.clone(),
             incarnation: self.local.incarnation,
-            memory: self.local.memory,
+            storage_id: self.local.storage_id,
             layout_version: self.layout_history.version(),
             request_id,
             message,
@@ -189,7 +189,7 @@
     pub(crate) fn is_replica(&self) -> bool {
         self.layout_history
             .newest()
-            .is_some_and(|layout| layout.has_holder(&self.local.name, self.local.memory))
+            .is_some_and(|layout| layout.has_holder(&self.local.name, self.local.storage_id))
     }
 
     /// The names of the newest layout's other members.
@@ -202,7 +202,7 @@
     }
 
     pub(crate) fn is_local(&self, replica: &ReplicaId) -> bool {
-        replica.name == self.local.name && replica.memory == self.local.memory
+        replica.name == self.local.name && replica.storage_id == self.local.storage_id
     }
 
     /// Whether requests may be sent to a member: another one that is in touch by the newest layout.
@@ -264,7 +264,7 @@
     }
 
     /// Whether other replicas notice that this member is silent: only then may it serve without a quorum.
-    pub(crate) fn is_missed_when_silent(&self) -> bool {
+    pub(crate) fn is_monitored_by_peers(&self) -> bool {
         self.is_replica()
             && self.participation.active
             && self.participation.has_met_quorum
@@ -300,7 +300,7 @@
     }
 
     /// Whether no write of that writer, begun at that time, can be open any more.
-    pub(crate) fn is_surely_over(&self, now: Ticks, writer: u64, begun_at: Ticks) -> bool {
+    pub(crate) fn has_write_ended(&self, now: Ticks, writer: u64, begun_at: Ticks) -> bool {
         let longest = self.config.max_write_duration + self.config.max_clock_skew;
         self.ended_writers.contains(&writer) || now - begun_at > longest
     }
--- a/crates/replication/src/merkle.rs
+++ b/crates/replication/src/merkle.rs
@@ -16,7 +16,7 @@
 
 /// The bucket of a key.
 #[must_use]
-pub fn bucket(key: RecordKey) -> usize {
+pub fn bucket_index(key: RecordKey) -> usize {
     (key.hash() >> UNUSED_HASH_BITS) as usize % BUCKETS
 }
 
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -23,7 +23,7 @@
     /// The sender's incarnation.
     pub incarnation: u64,
     /// The number of the durable state that the sender holds.
-    pub memory: u64,
+    pub storage_id: u64,
     /// The newest layout that the sender goes by.
     pub layout_version: u64,
     /// The number of a request, or of the request that this replies to.
@@ -167,7 +167,7 @@
         self.message.is_valid()
             && !self.sender.is_empty()
             && self.sender.len() <= leverpoint_membership::member_info::MAX_TEXT_BYTES
-            && self.memory != 0
+            && self.storage_id != 0
     }
 }
 
--- a/crates/replication/src/outbound_queue.rs
+++ b/crates/replication/src/outbound_queue.rs
@@ -145,7 +145,7 @@
     }
 
     /// Sends a record to these replicas; nobody waits for it.
-    pub(crate) fn send_to(
+    pub(crate) fn send_record(
         &mut self,
         state: &mut MemberState,
         now: Ticks,
@@ -162,7 +162,7 @@
     /// Sends a record to all its replicas in all layouts in force; nobody waits for it.
     pub(crate) fn publish(&mut self, state: &mut MemberState, now: Ticks, record: &Record) {
         let replicas = state.layout_history.all_replicas(record.key);
-        self.send_to(state, now, record, &replicas);
+        self.send_record(state, now, record, &replicas);
     }
 
     /// Whether that write is queued for or in flight to a member.
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -27,7 +27,7 @@
     /// All records that a member had for this one under that layout.
     TransferReceived {
         name: String,
-        memory: u64,
+        storage_id: u64,
         layout_version: u64,
     },
     /// All records that are this member's under that layout.
--- a/crates/replication/src/placement.rs
+++ b/crates/replication/src/placement.rs
@@ -44,7 +44,7 @@
     /// The member's name.
     pub name: String,
     /// The number of the durable state that it holds; another one holds nothing of what was written before.
-    pub memory: u64,
+    pub storage_id: u64,
 }
 
 /// A member of a layout as placement sees it.
--- a/crates/replication/src/read_coordinator.rs
+++ b/crates/replication/src/read_coordinator.rs
@@ -265,7 +265,8 @@
     let mut replicas = ctx.state.layout_history.all_replicas(read.key);
     replicas.retain(|replica| stale.contains(&&replica.name));
     ctx.state.counters.records_repaired += replicas.len() as u64;
-    ctx.queues.send_to(ctx.state, ctx.now, record, &replicas);
+    ctx.queues
+        .send_record(ctx.state, ctx.now, record, &replicas);
 }
 
 /// The position that a session's read requires; none where it is not known exactly.
@@ -300,7 +301,7 @@
     }
     let (state, now) = (&*ctx.state, ctx.now);
     let is_over = |(writer, open): (&(u64, u32), &OpenWrites)| {
-        !open.is_open() || state.is_surely_over(now, writer.0, open.begun_at)
+        !open.is_open() || state.has_write_ended(now, writer.0, open.begun_at)
     };
     if !writes.overflowed && writes.open_writes.iter().all(is_over) {
         close_ended_writes(ctx, *key, writes);
--- a/crates/replication/src/read_quorum.rs
+++ b/crates/replication/src/read_quorum.rs
@@ -63,7 +63,7 @@
         let mut replicas = self.layouts.iter().flatten();
         if replicas.any(|other| other.name == replica.name) {
             // A later reply knows no less than an earlier one.
-            let memory = replica.memory;
+            let memory = replica.storage_id;
             self.replies
                 .insert(replica.name.clone(), MemberReply { memory, reply });
         }
@@ -140,8 +140,8 @@
     /// The reply of a replica, where it counts in a quorum.
     fn counted_reply(&self, replica: &ReplicaId) -> Option<&ReplicaReply> {
         let member = self.replies.get(&replica.name)?;
-        let same_memory =
-            member.memory == replica.memory || leverpoint_failpoint::plant("empty-memory-counts");
+        let same_memory = member.memory == replica.storage_id
+            || leverpoint_failpoint::plant("empty-memory-counts");
         let reply = member.reply.as_ref().filter(|_| same_memory);
         reply.filter(|reply| !reply.partitioned)
     }
--- a/crates/replication/src/record_store.rs
+++ b/crates/replication/src/record_store.rs
@@ -9,7 +9,7 @@
 
 use crate::Ticks;
 use crate::merkle::MerkleTrees;
-pub use crate::merkle::{BUCKETS, bucket};
+pub use crate::merkle::{BUCKETS, bucket_index};
 use crate::record::{Record, RecordKey, RecordValue};
 
 /// The low watermark rises in steps of ten seconds as records expire: it is persisted each time.
@@ -99,7 +99,7 @@
     /// The record of a key.
     #[must_use]
     pub fn get(&self, key: RecordKey) -> Option<&Record> {
-        self.buckets[bucket(key)].get(&key)
+        self.buckets[bucket_index(key)].get(&key)
     }
 
     /// The records of a bucket, in the order of their keys.
@@ -114,7 +114,7 @@
 
     /// Merges a record into the store; whether anything was new.
     pub fn merge(&mut self, record: &Record) -> bool {
-        let bucket = bucket(record.key);
+        let bucket = bucket_index(record.key);
         let changed = if let Some(held) = self.buckets[bucket].get_mut(&record.key) {
             let before = held.memory_size();
             let changed = held.merge(record);
@@ -137,7 +137,7 @@
 
     /// Drops a record without raising the low watermark, for a failpoint.
     pub(crate) fn forget(&mut self, key: RecordKey) {
-        self.drop_from(bucket(key), |record| record.key == key);
+        self.drop_from(bucket_index(key), |record| record.key == key);
     }
 
     fn drop_from(&mut self, bucket: usize, is_dropped: impl Fn(&Record) -> bool) -> usize {
--- a/crates/replication/src/repair_job.rs
+++ b/crates/replication/src/repair_job.rs
@@ -172,7 +172,7 @@
         }
         let received = PendingCompletion::TransferReceived {
             name: self.peer.name.clone(),
-            memory: self.peer.memory,
+            storage_id: self.peer.storage_id,
             layout_version: self.layout_version,
         };
         state.persist_records(Vec::new(), Some(received));
--- a/crates/replication/src/replicator.rs
+++ b/crates/replication/src/replicator.rs
@@ -186,7 +186,12 @@
         if envelope.incarnation < known {
             return self.take_actions();
         }
-        self.observe_member(now, &envelope.sender, envelope.incarnation, envelope.memory);
+        self.observe_member(
+            now,
+            &envelope.sender,
+            envelope.incarnation,
+            envelope.storage_id,
+        );
         let (name, version) = (&envelope.sender, envelope.layout_version);
         if version == self.state.layout_history.version()
             && self.state.leases.needs_renewal(now, name, version)
@@ -236,7 +241,7 @@
         }
         let all_synced = layout.holders.iter().all(|holder| {
             if holder.name == state.local.name {
-                return holder.storage_id == state.local.memory
+                return holder.storage_id == state.local.storage_id
                     && state.sync.layout_version >= layout_version;
             }
             state.leases.memory(&holder.name) == holder.storage_id
@@ -278,11 +283,11 @@
             } => request_handler::renew_lease(state, now, &to, request_id, renewal),
             PendingCompletion::TransferReceived {
                 name,
-                memory,
+                storage_id,
                 layout_version,
             } => {
                 if layout_version == state.layout_history.version() {
-                    state.layout_history.record_transfer(&name, memory);
+                    state.layout_history.record_transfer(&name, storage_id);
                 }
             }
             PendingCompletion::InSync { layout_version } => {
@@ -337,7 +342,10 @@
             } = *last;
             (name.clone(), ended_at, differing_buckets, new_records)
         });
-        (comparisons.collect(), self.anti_entropy.remaining())
+        (
+            comparisons.collect(),
+            self.anti_entropy.remaining_comparisons(),
+        )
     }
 
     /// Counters since the start.
--- a/crates/replication/src/replicator/inbound.rs
+++ b/crates/replication/src/replicator/inbound.rs
@@ -38,7 +38,7 @@
     fn on_reply(&mut self, now: Ticks, envelope: &Envelope) {
         let replica = ReplicaId {
             name: envelope.sender.clone(),
-            memory: envelope.memory,
+            storage_id: envelope.storage_id,
         };
         let (id, message) = (envelope.request_id, &envelope.message);
         let state = &mut self.state;
--- a/crates/replication/src/request_handler.rs
+++ b/crates/replication/src/request_handler.rs
@@ -122,7 +122,7 @@
         Message::FetchReassigned { from_bucket, after } => {
             let asker = ReplicaId {
                 name: envelope.sender.clone(),
-                memory: envelope.memory,
+                storage_id: envelope.storage_id,
             };
             let (records, next) =
                 reassigned_records(state, &asker, usize::from(*from_bucket), *after);
--- a/crates/replication/src/write_coordinator.rs
+++ b/crates/replication/src/write_coordinator.rs
@@ -185,7 +185,7 @@
             self.on_acknowledged(ctx, id, key, replica);
             // A layout may name the member with another memory: that one is lost.
             for lost in ctx.state.layout_history.replicas_named(key, &replica.name) {
-                if lost.memory != replica.memory {
+                if lost.storage_id != replica.storage_id {
                     self.on_rejected(ctx, id, key, &lost);
                 }
             }
@@ -323,7 +323,7 @@
         ctx.state.counters.quorum_writes += 1;
         if let Some(open) = self.open.get_mut(&write.ticket) {
             open.clearance = WriteClearance::QuorumAcknowledged;
-            self.sessions.on_quorum(open.session);
+            self.sessions.on_quorum_acknowledged(open.session);
         }
         let config = &ctx.state.config;
         let decision = write
--- a/crates/replication/src/write_coordinator/degraded.rs
+++ b/crates/replication/src/write_coordinator/degraded.rs
@@ -47,7 +47,7 @@
         for replicas in keys.flat_map(|key| ctx.state.layout_history.replica_sets(key)) {
             wait = Ticks::max(wait, accounted_for(ctx.state, ctx.now, &replicas));
         }
-        if !ctx.state.is_missed_when_silent() {
+        if !ctx.state.is_monitored_by_peers() {
             wait = wait.max(ctx.state.leases.length() / 4);
         }
         if wait > 0 {
@@ -100,7 +100,7 @@
     let until = |replica: &ReplicaId| {
         // A member that has lost the memory a layout names it with counts in nobody's quorum.
         let counts =
-            !state.is_local(replica) && state.leases.memory(&replica.name) == replica.memory;
+            !state.is_local(replica) && state.leases.memory(&replica.name) == replica.storage_id;
         if counts {
             state.leases.trusted_until(&replica.name)
         } else {
--- a/crates/replication/tests/local_sessions.rs
+++ b/crates/replication/tests/local_sessions.rs
@@ -27,6 +27,6 @@
 
     assert_eq!(sessions.on_rejected(20, 7), 20);
     assert_eq!(sessions.on_rejected(30, 7), 20);
-    sessions.on_quorum(7);
+    sessions.on_quorum_acknowledged(7);
     assert_eq!(sessions.on_rejected(40, 7), 40);
 }
--- a/crates/replication/tests/merkle.rs
+++ b/crates/replication/tests/merkle.rs
@@ -1,6 +1,6 @@
 //! Hashes of the records that two members share.
 
-use leverpoint_replication::merkle::{MerkleTrees, bucket};
+use leverpoint_replication::merkle::{MerkleTrees, bucket_index};
 use leverpoint_replication::{PrimaryRole, Record, RecordKey, RecordValue};
 
 fn record(replica_set: u16, term: u64) -> Record {
@@ -18,7 +18,7 @@
     let mut trees = MerkleTrees::default();
     trees.reset(2);
     while let Some(at) = trees.pop_stale() {
-        let in_bucket = records.iter().filter(|r| bucket(r.key) == at);
+        let in_bucket = records.iter().filter(|r| bucket_index(r.key) == at);
         trees.rehash(at, in_bucket, |_| vec![1]);
     }
     trees
@@ -33,7 +33,7 @@
         .filter(|branch| ours.branch_hashes(1)[*branch] != theirs.branch_hashes(1)[*branch])
         .collect();
 
-    let changed = bucket(RecordKey::Primary(2));
+    let changed = bucket_index(RecordKey::Primary(2));
     assert_eq!(differing, [changed / 64]);
     let (ours, theirs) = (
         ours.bucket_hashes(1, changed / 64),
--- a/crates/replication/tests/replicator.rs
+++ b/crates/replication/tests/replicator.rs
@@ -47,11 +47,11 @@
     }
 }
 
-fn me(n: usize, life: u64, memory: u64) -> LocalMember {
+fn me(n: usize, life: u64, storage_id: u64) -> LocalMember {
     LocalMember {
         name: format!("n{n}"),
         incarnation: life,
-        memory,
+        storage_id,
     }
 }
 
@@ -566,7 +566,7 @@
     let envelope = |name: &str, life, body| Envelope {
         sender: name.into(),
         incarnation: life,
-        memory: 2,
+        storage_id: 2,
         layout_version: 1,
         request_id: 1,
         message: body,
--- a/crates/replication/tests/write_quorum.rs
+++ b/crates/replication/tests/write_quorum.rs
@@ -6,10 +6,10 @@
     ReplicationFactor, SessionWrites, WriteQuorum, WriteQuorumEffect, WriteQuorumState,
 };
 
-fn replica(name: &str, memory: u64) -> ReplicaId {
+fn replica(name: &str, storage_id: u64) -> ReplicaId {
     ReplicaId {
         name: name.to_owned(),
-        memory,
+        storage_id,
     }
 }
 
@@ -85,9 +85,8 @@
                         };
                         worth = match (reached >> n & 1 == 1, lost >> n & 1 == 1) {
                             (false, _) => reading.on_reply(who, None),
-                            (true, true) => {
-                                reading.on_reply(&replica(&who.name, who.memory + 100), says(None))
-                            }
+                            (true, true) => reading
+                                .on_reply(&replica(&who.name, who.storage_id + 100), says(None)),
                             (true, false) => reading.on_reply(who, says(held)),
                         };
                     }
