--- a/crates/routing/src/endpoint_lease.rs
+++ b/crates/routing/src/endpoint_lease.rs
@@ -69,9 +69,9 @@
 
     /// Records that discovery was unreachable at a time; what it had by then counts as delivered
     /// only some time later.
-    pub fn on_unreachable(&mut self, then: Ticks) {
+    pub fn on_unreachable(&mut self, at: Ticks) {
         if !self.refused {
-            self.unreachable_at = self.unreachable_at.max(Some(then));
+            self.unreachable_at = self.unreachable_at.max(Some(at));
         }
     }
 
--- a/crates/routing/src/rejection.rs
+++ b/crates/routing/src/rejection.rs
@@ -9,7 +9,7 @@
 const MAX_SHUTDOWN_MARGIN: Ticks = 500 * MILLISECOND;
 
 /// Whether a request can no longer be answered in time, or may not be attempted again.
-pub(crate) fn is_hopeless(cluster: &ClusterState, request: &RequestState) -> bool {
+pub(crate) fn must_give_up(cluster: &ClusterState, request: &RequestState) -> bool {
     let class = &cluster.classes[request.class];
     let half_answer = class.typical() / 2;
     let objective_left = request
--- a/crates/routing/src/replica_position.rs
+++ b/crates/routing/src/replica_position.rs
@@ -22,7 +22,7 @@
     }
 
     /// Records that the replica has held a read in vain.
-    pub fn on_held_in_vain(&mut self, now: Ticks) {
+    pub fn on_hold_expired(&mut self, now: Ticks) {
         self.stale_until = now + STALE_PERIOD;
     }
 
--- a/crates/routing/src/request_state.rs
+++ b/crates/routing/src/request_state.rs
@@ -32,7 +32,7 @@
     /// No server has capacity for it.
     NoCapacity,
     /// It cannot be answered in time any more, or may not be attempted again.
-    Hopeless,
+    GivenUp,
     /// Its last attempt under way ended without an answer.
     AttemptFailed,
     /// It has been answered, or its client has disconnected.
@@ -87,7 +87,7 @@
         transition(Waiting, Event::Dequeued, Queued, Effect::SelectServer),
         transition(Queued, Event::AttemptStarted, InFlight, Effect::None),
         transition(Queued, Event::NoCapacity, Waiting, Effect::Wait),
-        transition(Queued, Event::Hopeless, Finished, Effect::Reject),
+        transition(Queued, Event::GivenUp, Finished, Effect::Reject),
         transition(InFlight, Event::AttemptFailed, Queued, Effect::QueueRetry),
         transition(Queued, Event::Finished, Finished, Effect::None),
         transition(Waiting, Event::Finished, Finished, Effect::None),
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -293,9 +293,9 @@
         let request = &self.requests[index];
         let cluster = &mut self.cluster;
         if self.endpoint_list.lease().is_expired(cluster.now)
-            || rejection::is_hopeless(cluster, request)
+            || rejection::must_give_up(cluster, request)
         {
-            return RequestEvent::Hopeless;
+            return RequestEvent::GivenUp;
         }
         let selected = replica_selection::select_server(cluster, request, &mut self.rng);
         let policy = cluster.retry_policy(request.class);
--- a/crates/routing/src/server_feedback.rs
+++ b/crates/routing/src/server_feedback.rs
@@ -74,7 +74,7 @@
         ),
         AttemptOutcome::Error => server.health.on_error(),
         AttemptOutcome::NotCaughtUp if hold > 0 && finished.elapsed >= hold => {
-            server.position.on_held_in_vain(now);
+            server.position.on_hold_expired(now);
         }
         _ => {}
     }
--- a/crates/routing/tests/replica_position.rs
+++ b/crates/routing/tests/replica_position.rs
@@ -37,6 +37,6 @@
 #[test]
 fn replica_that_held_a_read_in_vain_is_stale_for_five_seconds() {
     let mut position = ReplicaPosition::default();
-    position.on_held_in_vain(NOW);
+    position.on_hold_expired(NOW);
     assert!(position.is_stale(NOW + 5 * SECOND - 1) && !position.is_stale(NOW + 5 * SECOND));
 }
--- a/crates/routing/tests/request_state.rs
+++ b/crates/routing/tests/request_state.rs
@@ -40,7 +40,7 @@
         RequestEvent::Dequeued,
         RequestEvent::NoCapacity,
         RequestEvent::Dequeued,
-        RequestEvent::Hopeless,
+        RequestEvent::GivenUp,
     ]);
     assert_eq!(phase, Phase::Finished);
     assert_eq!(
@@ -56,7 +56,7 @@
         RequestEvent::Dequeued,
         RequestEvent::AttemptStarted,
         RequestEvent::NoCapacity,
-        RequestEvent::Hopeless,
+        RequestEvent::GivenUp,
         RequestEvent::AttemptFailed,
         RequestEvent::Finished,
     ] {
