--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -1,4 +1,4 @@
-//! What a [`Member`](crate::Member) takes over from storage, asks its runtime to do, reports and counts.
+//! What a [`Member`](crate::Member) exchanges with its runtime: persisted state, actions, events and counters.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,12 +22,12 @@
     pub acceptor: AcceptorState,
 }
 
-/// The member's own standing in the fleet.
+/// A member's own state in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipStatus {
     /// No other member has admitted it yet.
     Joining,
-    /// It takes part.
+    /// Another member has admitted it, and it takes part in the protocol.
     Active,
     /// It has left gracefully.
     Left,
@@ -44,9 +44,9 @@
     pub address: String,
 }
 
-/// A change worth logging.
+/// A change that the runtime is to log.
 ///
-/// The simulator digests these values with `Hash`, so the order of variants and fields is stable.
+/// The simulator digests these values with `Hash`, so the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipEvent {
     /// Another member has accepted this one into the fleet.
@@ -55,7 +55,7 @@
     StatusChanged {
         /// The other member's name.
         name: String,
-        /// Its incarnation.
+        /// The other member's incarnation.
         incarnation: Incarnation,
         /// Its status before; `None` if it was not known.
         previous: Option<MemberStatus>,
@@ -79,9 +79,9 @@
     },
     /// A new layout has been adopted.
     LayoutChanged {
-        /// Its version.
+        /// Version of the new layout.
         version: u64,
-        /// Number of its holders.
+        /// Number of holders in the new layout.
         holders: usize,
     },
     /// Another member has a different layout of the same version; consensus has been violated.
@@ -105,18 +105,19 @@
 /// An effect requested by a [`Member`](crate::Member), to be carried out in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
+    /// Send a message. It may be lost: nothing is reported back.
     Send {
-        /// The addressee.
+        /// The receiver, by name and address or by address alone.
         to: Destination,
-        /// The message.
+        /// The message with the sender's state.
         envelope: Box<Envelope>,
     },
-    /// Persist `state`, then call [`Member::on_persisted`](crate::Member::on_persisted) with `sequence`, or [`Member::on_persist_failed`](crate::Member::on_persist_failed).
+    /// Persist `state`, then call [`Member::on_persisted`](crate::Member::on_persisted) with `sequence`, or
+    /// [`Member::on_persist_failed`](crate::Member::on_persist_failed).
     Persist {
         /// Number of this request; a later one covers all earlier ones.
         sequence: u64,
-        /// The state to store.
+        /// The complete state, which replaces the one persisted before.
         state: Box<PersistedState>,
     },
     /// Report an event.
@@ -159,11 +160,11 @@
 /// Field order is part of the admin protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSummary {
-    /// What the member says of itself.
+    /// The member's description of itself.
     pub info: MemberInfo,
     /// Number of its latest refutation.
     pub refutation_count: u32,
-    /// Its status.
+    /// Its status, as the queried member sees it.
     pub status: MemberStatus,
     /// Time since the status last changed.
     pub status_age: Ticks,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -9,13 +9,13 @@
     pub probe_interval: Ticks,
     /// How long a direct probe is awaited before indirect ones are sent; less than half the probe interval.
     pub probe_timeout: Ticks,
-    /// Members asked for an indirect probe.
+    /// Number of other members asked to probe a member that has not acknowledged a direct probe in time.
     pub indirect_probes: usize,
-    /// A suspicion lasts for so many probe intervals times the logarithm of the fleet's size.
+    /// The suspicion timeout, in probe intervals for each unit of the binary logarithm of the fleet's size.
     pub suspicion_multiplier: u32,
-    /// An update is sent so many times the logarithm of the fleet's size.
+    /// How often an update is sent for each unit of the binary logarithm of the fleet's size.
     pub retransmit_multiplier: u32,
-    /// Members known at most, dead ones included.
+    /// Upper bound of the number of known members, dead ones included.
     pub max_members: usize,
     /// How long a dead member stays known, so that its incarnation is not taken for a new one.
     pub dead_retention: Ticks,
@@ -23,15 +23,15 @@
     pub join_delay: Ticks,
 }
 
-/// Defaults. A probe interval of half a second costs a member some 500 bytes a second whatever the fleet's size, and a
-/// round trip between data centres takes a few milliseconds.
+/// Default parameters. A probe interval of half a second costs a member some 500 bytes a second whatever the fleet's
+/// size. The probe timeout is well above a round trip between data centres, which takes a few milliseconds.
 pub const DEFAULT_CONFIG: MembershipConfig = MembershipConfig {
     probe_interval: 5_000,
     probe_timeout: 1_500,
     indirect_probes: 3,
     suspicion_multiplier: 3,
     retransmit_multiplier: 3,
-    // The largest layout, and as many members that are dead or waiting to join.
+    // Room for the largest layout and for as many members that are dead or waiting to join.
     max_members: 2 * crate::layout::MAX_HOLDERS,
     dead_retention: 36_000_000,
     join_delay: 20_000,
@@ -49,7 +49,7 @@
 }
 
 impl MembershipConfig {
-    /// How long a member stays suspect in a fleet of this size.
+    /// How long a member stays suspect before it is declared dead, in a fleet of this size.
     pub fn suspicion_timeout(&self, members: usize) -> Ticks {
         self.probe_interval * Ticks::from(self.suspicion_multiplier * log2_ceil(members))
     }
@@ -74,7 +74,8 @@
             + self.probe_interval * Ticks::from(4 * log2_ceil(members))
     }
 
-    /// A longer span between two ticks shows that the process did not run.
+    /// The longest time between two calls of [`Member::tick`](crate::Member::tick) while the process runs. After a
+    /// longer one it is taken to have been paused.
     pub fn pause_threshold(&self) -> Ticks {
         2 * self.probe_interval
     }
--- a/crates/membership/src/consensus/acceptor.rs
+++ b/crates/membership/src/consensus/acceptor.rs
@@ -19,16 +19,16 @@
 /// An acceptor's reply to a proposer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcceptorReply {
-    /// The ballot is promised; the value accepted before, if any.
+    /// The ballot is promised. Contains the value accepted before, with its ballot, if there is one.
     Promised(Option<(Ballot, Layout)>),
     /// The value is accepted.
     Accepted,
-    /// A higher ballot, given here, has been promised.
+    /// A higher ballot, which this contains, has been promised.
     Rejected(Ballot),
 }
 
 impl AcceptorState {
-    /// Handles the first round of a proposal.
+    /// Handles phase 1 of a proposal: promises the ballot unless a higher one has been promised.
     pub fn on_prepare(&mut self, ballot: Ballot) -> AcceptorReply {
         if ballot < self.promised {
             return AcceptorReply::Rejected(self.promised);
@@ -37,7 +37,7 @@
         AcceptorReply::Promised(self.accepted.clone())
     }
 
-    /// Handles the second round of a proposal.
+    /// Handles phase 2 of a proposal: accepts the value unless a higher ballot has been promised.
     pub fn on_accept(&mut self, ballot: Ballot, layout: &Layout) -> AcceptorReply {
         if ballot < self.promised {
             return AcceptorReply::Rejected(self.promised);
--- a/crates/membership/src/consensus/mod.rs
+++ b/crates/membership/src/consensus/mod.rs
@@ -21,8 +21,8 @@
 /// A proposal number. Two proposers never share one, as it contains the proposer's incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The proposer's round.
+    /// Raised with each proposal, and above any round that has led to a rejection; compared first.
     pub round: u32,
-    /// The proposer, to break ties.
+    /// The proposer's incarnation, which breaks ties.
     pub proposer: Incarnation,
 }
--- a/crates/membership/src/consensus/proposer.rs
+++ b/crates/membership/src/consensus/proposer.rs
@@ -1,11 +1,11 @@
-//! The proposer: one proposal's way through the two rounds.
+//! The proposer: the state of one proposal in the two rounds of voting.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Ballot;
 use crate::layout::{Layout, ReplicaHolder};
 
-/// A change wanted of the next layout.
+/// A change that the next layout is to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LayoutChange {
     /// The founders become holders, each with the storage that it has now.
@@ -25,23 +25,23 @@
     Accepting(Layout, BTreeSet<String>),
 }
 
-/// What a proposer does next.
+/// What the proposer has to do after a vote.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalStep {
-    /// Waits for further replies.
+    /// Wait for further replies.
     Wait,
-    /// A quorum has promised: the holders are asked to accept this value.
+    /// A quorum has promised: ask the holders to accept this value.
     SendAccept(Layout),
     /// A quorum has accepted: this value is chosen.
     Chosen(Layout),
-    /// The proposal is abandoned: a higher ballot is under way, or the wanted change does not apply.
+    /// The proposal is abandoned: a higher ballot is under way, or the change can't be made to the base layout.
     Abandon,
 }
 
 /// A proposal for the version after a given layout.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Its ballot.
+    /// The ballot in which the change is proposed.
     pub ballot: Ballot,
     base: Layout,
     change: LayoutChange,
@@ -62,17 +62,17 @@
         }
     }
 
-    /// The version that is being decided.
+    /// The layout version to decide: the one after the base layout.
     pub fn version(&self) -> u64 {
         self.base.version + 1
     }
 
-    /// The holders that vote.
+    /// The holders that vote: those of the base layout.
     pub fn voters(&self) -> impl Iterator<Item = &ReplicaHolder> {
         self.base.holders.iter()
     }
 
-    /// The value to propose once a quorum has promised; `None` if the change does not apply.
+    /// The value to propose once a quorum has promised; `None` if the change can't be made.
     fn value(&self, promised: &BTreeMap<String, ReplicaHolder>) -> Option<Layout> {
         if let Some((_, layout)) = &self.highest_accepted {
             return Some(layout.clone());
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -10,7 +10,7 @@
 use crate::Ticks;
 use crate::membership_table::MemberIndex;
 
-/// Relayed probes awaiting an acknowledgement at most; the oldest is dropped for a new one.
+/// Most relayed probes that await an acknowledgement; a further one replaces the oldest.
 const MAX_RELAYED_PROBES: usize = 128;
 
 /// A probe that has not been acknowledged yet.
@@ -40,7 +40,7 @@
 pub struct FailureDetector {
     /// The probe of the current round.
     pub pending: Option<PendingProbe>,
-    /// Members still to be probed in this round, last first.
+    /// Members still to be probed in this round, in reverse order.
     order: Vec<MemberIndex>,
     relayed: VecDeque<RelayedProbe>,
     last_sequence: u32,
@@ -55,13 +55,14 @@
         }
     }
 
-    /// Draws the next sequence number.
+    /// Returns the next sequence number, which wraps around.
     pub fn next_sequence(&mut self) -> u32 {
         self.last_sequence = self.last_sequence.wrapping_add(1);
         self.last_sequence
     }
 
-    /// The next of `candidates` to probe. A candidate that has joined during a round waits for the next one.
+    /// The next of `candidates` to probe; `None` if there are none. A candidate that joins during a round is first
+    /// probed in the next one.
     pub fn next_target(
         &mut self,
         random: &mut Rng,
@@ -119,7 +120,7 @@
         Some((probe.requester, probe.requester_sequence))
     }
 
-    /// Drops all state about a member whose index may be reused.
+    /// Drops all state about a member, since its index may be reused.
     pub fn forget(&mut self, member: MemberIndex) {
         self.pending.take_if(|probe| probe.member == member);
         self.relayed
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -4,22 +4,22 @@
 
 use crate::membership_table::MemberIndex;
 
-/// Updates in one message at most; at about a hundred bytes each, a message stays within one packet.
+/// Most updates in one message: at about a hundred bytes each, a message fits into one packet.
 pub const UPDATES_PER_MESSAGE: usize = 8;
 
 /// Members with an update to disseminate, with the number of times that it has been sent.
 ///
-/// Holds at most one entry a member: a newer update replaces the older one.
+/// There is at most one entry for each member: a newer update replaces the older one.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue(BTreeMap<MemberIndex, u32>);
 
 impl GossipQueue {
-    /// Adds the member's current update, not sent yet.
+    /// Adds the member's current update, counted as not sent yet.
     pub fn enqueue(&mut self, member: MemberIndex) {
         self.0.insert(member, 0);
     }
 
-    /// Removes the member's update.
+    /// Removes the member's update, if there is one.
     pub fn remove(&mut self, member: MemberIndex) {
         self.0.remove(&member);
     }
--- a/crates/membership/src/layout.rs
+++ b/crates/membership/src/layout.rs
@@ -1,9 +1,9 @@
-//! The layout: a numbered set of replica holders, its quorum, and which layout may follow another.
+//! The layout: a versioned set of replica holders, the size of its quorum, and the changes allowed between versions.
 //!
 //! # Invariants
 //!
-//! Two neighbouring versions differ by one holder, so that any two of their quorums intersect. A member that has lost its
-//! storage is not the holder that its name stands for.
+//! Two neighbouring versions differ by one holder, so that any two of their quorums intersect. A member that has lost
+//! its storage is not the holder of its name: holders are identified by name and storage.
 
 use std::collections::BTreeSet;
 
@@ -21,21 +21,21 @@
     pub name: String,
     /// Its storage; 0 in version 0, where any storage matches.
     pub storage_id: u64,
-    /// Its machine.
+    /// The machine that it runs on; empty in version 0.
     pub machine: String,
-    /// Its availability zone.
+    /// The availability zone that it runs in; empty in version 0.
     pub zone: String,
 }
 
-/// Holders of a layout at most, so that a vote on it fits a message.
+/// Most holders of a layout, so that a vote on it fits into one message.
 pub const MAX_HOLDERS: usize = 1_024;
 
 /// A version of the layout. Version 0 consists of the configured founders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layout {
-    /// The version.
+    /// One more than the version that this layout replaces.
     pub version: u64,
-    /// The holders by name, each once.
+    /// The holders, sorted by name, each once.
     pub holders: Vec<ReplicaHolder>,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Layout {
-    /// Version 0, with these names.
+    /// Creates version 0, whose holders are the founders of these names.
     pub fn from_founders(names: &[String]) -> Layout {
         let names: BTreeSet<&String> = names.iter().collect();
         let holder = |name: &String| ReplicaHolder {
@@ -80,16 +80,17 @@
             && (self.version == 0 || !self.holders.is_empty())
     }
 
-    /// The holder of this name.
+    /// Finds the holder with this name, whatever its storage.
     pub fn holder(&self, name: &str) -> Option<&ReplicaHolder> {
         self.holders.iter().find(|holder| holder.name == name)
     }
 
     /// Whether the member of this name, with this storage, is a holder.
     pub fn has_holder(&self, name: &str, storage_id: u64) -> bool {
-        let any = |h: &ReplicaHolder| h.storage_id == 0 || plant("empty-memory-votes");
+        let accepts_any_storage =
+            |h: &ReplicaHolder| h.storage_id == 0 || plant("empty-memory-votes");
         self.holder(name)
-            .is_some_and(|h| h.storage_id == storage_id || any(h))
+            .is_some_and(|h| h.storage_id == storage_id || accepts_any_storage(h))
     }
 
     /// Size of a quorum: more than half, or all of version 0, whose storage is not known yet.
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Whether `next` may follow: with one holder more or fewer, or after version 0 the same names with their storage.
+    /// Whether `next` may replace this layout: it has one holder more or fewer, or after version 0 the same names with
+    /// their storage.
     pub fn permits_successor(&self, next: &Layout) -> bool {
         if next.version != self.version + 1 || !next.is_valid() {
             return false;
@@ -118,7 +120,7 @@
         old.symmetric_difference(&new).count() == 1
     }
 
-    /// The next version with this holder.
+    /// The next version, with this holder added.
     pub fn with_holder(&self, holder: ReplicaHolder) -> Layout {
         let mut holders = self.holders.clone();
         let at = holders.partition_point(|h| h.name < holder.name);
@@ -143,7 +145,7 @@
         }
     }
 
-    /// A digest that tells layouts of one version apart.
+    /// A digest that distinguishes layouts of the same version.
     pub fn digest(&self) -> u64 {
         let mut hash = xxhash_rust::xxh3::Xxh3::with_seed(self.version);
         for h in &self.holders {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -3,7 +3,7 @@
 //! # Invariants
 //!
 //! A vote is sent only after it has been persisted. A member that has been superseded by a newer incarnation of its
-//! name stays silent. Time in which the process did not run is not held against other members.
+//! name sends nothing. No member is suspected or declared dead for a time in which this process did not run.
 
 mod identity;
 mod outgoing;
@@ -47,7 +47,7 @@
     last_table_sync: Ticks,
     random: Rng,
     actions: Vec<Action>,
-    /// Counters since the start.
+    /// Counters since the start of the process.
     pub counters: MembershipCounters,
 }
 
@@ -102,7 +102,7 @@
         &self.local.update
     }
 
-    /// The member's own standing in the fleet.
+    /// The member's own state in the fleet.
     pub fn status(&self) -> MembershipStatus {
         self.local.status
     }
@@ -112,15 +112,15 @@
         &self.voting.layout
     }
 
-    /// What is known of the other members.
+    /// The newest update known about each other member.
     pub fn table(&self) -> &MembershipTable {
         &self.table
     }
 
     /// Number of known members, this one and dead ones included.
     ///
-    /// Suspicion timeouts follow from it; counting the dead keeps the timeouts of the other members as long when
-    /// part of the fleet is cut off.
+    /// The suspicion timeout depends on it. As dead members count, the timeout does not become shorter when part of the
+    /// fleet is cut off.
     fn known_members(&self) -> usize {
         self.table.len() + 1
     }
@@ -142,7 +142,7 @@
             .table
             .entries()
             .map(|(_, entry)| MemberSummary {
-                silent_for: entry.last_heard.map(|at| now - at),
+                silent_for: entry.last_message_at.map(|at| now - at),
                 ..self.summarize(&entry.update, now - entry.status_since)
             })
             .collect();
@@ -192,7 +192,8 @@
         self.take_actions()
     }
 
-    /// The process did not run, so answers may have gone unread: no member is judged by that time.
+    /// The process was paused, so replies may not have been read: no member is suspected or declared dead for that
+    /// time.
     fn on_pause(&mut self, now: Ticks, duration: Ticks) {
         self.counters.pauses += 1;
         self.detector.pending = None;
@@ -212,7 +213,7 @@
         }
         self.counters.received += 1;
         if envelope.sender.info.name == self.local.update.info.name {
-            self.on_message_in_own_name(&envelope.sender);
+            self.on_message_with_own_name(&envelope.sender);
             return self.take_actions();
         }
         match self.apply_update(now, &envelope.sender, UpdateSource::Subject) {
@@ -237,7 +238,7 @@
             self.on_update(now, update, UpdateSource::Gossip);
         }
         if !self.local.is_silent() {
-            self.on_contact(envelope);
+            self.check_admission(envelope);
             self.compare_state(now, member, envelope);
             self.on_body(now, member, envelope);
         }
@@ -267,9 +268,9 @@
         }
     }
 
-    /// Leaves the fleet gracefully: some members are told at once and pass it on.
+    /// Leaves the fleet gracefully: some members are notified at once and disseminate the update.
     ///
-    /// The layout keeps this member, so a restart with its storage resumes its place.
+    /// This member stays in the layout, so that it is a holder again after a restart with its storage.
     pub fn leave(&mut self) -> Vec<Action> {
         if self.local.is_silent() {
             return Vec::new();
--- a/crates/membership/src/member/identity.rs
+++ b/crates/membership/src/member/identity.rs
@@ -9,7 +9,7 @@
 use crate::membership_table::MemberIndex;
 use crate::message::{Body, Envelope};
 
-/// What a member says of itself, and its standing in the fleet.
+/// A member's update about itself, and its own state in the fleet.
 #[derive(Debug)]
 pub(super) struct LocalMember {
     pub(super) update: MemberUpdate,
@@ -40,11 +40,11 @@
 }
 
 impl Member {
-    /// Another process uses this member's name.
+    /// Handles a message from another process that uses this member's name.
     ///
-    /// An active member keeps its name whatever incarnation the other claims, and says so. Only an update that a third
-    /// member has accepted supersedes it.
-    pub(super) fn on_message_in_own_name(&mut self, update: &MemberUpdate) {
+    /// An active member keeps its name, whatever the incarnation of the other process, and sends it its own update. It
+    /// is superseded only by an update that a third member has accepted.
+    pub(super) fn on_message_with_own_name(&mut self, update: &MemberUpdate) {
         let own = &self.local.update;
         let same_incarnation = update.info.incarnation == own.info.incarnation;
         if self.local.status != MembershipStatus::Active || same_incarnation {
@@ -55,7 +55,7 @@
         self.send_to_address(update.info.address.clone(), Body::TableSync { updates });
     }
 
-    /// Tells a process that uses a member's name what is known of that member.
+    /// Sends a process that uses another member's name the newest update about that member.
     pub(super) fn send_known_update(&mut self, member: MemberIndex, sender: &MemberInfo) {
         let Some(update) = self.table.get(member).map(|entry| entry.update.clone()) else {
             return;
@@ -64,8 +64,9 @@
         self.send_to_address(sender.address.clone(), Body::TableSync { updates });
     }
 
-    /// Another member has answered; it admits this one unless it knows a different incarnation of the name.
-    pub(super) fn on_contact(&mut self, envelope: &Envelope) {
+    /// Makes a joining member active when another member sends it a message, unless that message has an update about a
+    /// different incarnation of its name.
+    pub(super) fn check_admission(&mut self, envelope: &Envelope) {
         let own = &self.local.update.info;
         let disputes = |update: &MemberUpdate| {
             update.info.name == own.name && update.info.incarnation != own.incarnation
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Refutes, yields to, or rises above an update about this member's own name.
+    /// Handles an update about this member's own name: refutes it, gives the name up to a newer incarnation, or raises
+    /// its incarnation above an ended one.
     pub(super) fn on_update_about_self(&mut self, update: &MemberUpdate) {
         let own = self.local.update.info.incarnation;
         let other = update.info.incarnation;
@@ -88,18 +90,18 @@
             return self.refute(update);
         }
         // No other process can be running at this member's own address.
-        let elsewhere = update.info.address != self.local.update.info.address;
-        let is_running = update.status <= MemberStatus::Suspect && elsewhere;
+        let has_other_address = update.info.address != self.local.update.info.address;
+        let is_running = update.status <= MemberStatus::Suspect && has_other_address;
         let joining = self.local.status == MembershipStatus::Joining;
         if is_running && joining && other.storage_id != own.storage_id {
-            // Whichever incarnation is newer, the running process has the name until it is gone.
+            // The running process keeps the name until it is dead or has left, whichever incarnation is newer.
             self.report_name_conflict(update);
         } else if other > own && is_running && !plant("ended-goes-on") {
             self.local.status = MembershipStatus::Superseded;
             self.voting.abort();
             self.report(MembershipEvent::Superseded { by: other });
         } else if other > own {
-            // The clock of an ended incarnation was ahead.
+            // The clock of an ended incarnation was ahead of this one's.
             let raised = other.number + 1;
             self.local.update.info.incarnation.number = raised;
             self.local.update.refutation_count = 0;
--- a/crates/membership/src/member/outgoing.rs
+++ b/crates/membership/src/member/outgoing.rs
@@ -8,7 +8,7 @@
 use crate::message::{Body, Envelope};
 
 impl Member {
-    /// Builds a message, with gossip where the kind of the body carries it.
+    /// Builds a message, with gossip if its kind carries gossip.
     pub(super) fn envelope(&mut self, recipient: Option<MemberIndex>, body: Body) -> Envelope {
         let updates = if body.carries_gossip() {
             self.gossip_for(recipient)
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Updates to piggyback. A recipient that is not seen as alive learns it first, so that it can refute.
+    /// Updates to piggyback. If the recipient is not seen as alive, the update about it comes first, so that it can
+    /// refute.
     fn gossip_for(&mut self, recipient: Option<MemberIndex>) -> Vec<MemberUpdate> {
         let about_recipient = recipient
             .and_then(|member| self.table.get(member))
@@ -44,7 +45,7 @@
         updates
     }
 
-    /// Where a known member is reached.
+    /// Name and address of a known member.
     pub(super) fn destination(&self, member: MemberIndex) -> Option<Destination> {
         let info = &self.table.get(member)?.update.info;
         Some(Destination {
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Sends to a known member.
+    /// Sends a message to a known member; does nothing if the member has been forgotten.
     pub(super) fn send(&mut self, member: MemberIndex, body: Body) {
         let Some(to) = self.destination(member) else {
             return;
@@ -62,7 +63,7 @@
         self.actions.push(Action::Send { to, envelope });
     }
 
-    /// Sends to whichever member has this address.
+    /// Sends a message to the process at this address, whatever its name.
     pub(super) fn send_to_address(&mut self, address: String, body: Body) {
         let envelope = Box::new(self.envelope(None, body));
         let to = Destination {
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -11,9 +11,9 @@
 use crate::membership_table::MemberIndex;
 use crate::message::Body;
 
-/// In one round of so many, a dead member or an unknown seed is contacted, so that partitions heal.
+/// Every this many rounds, a dead member or an unknown seed is contacted, so that partitions heal.
 const RECONNECT_EVERY_ROUNDS: u64 = 4;
-/// Seeds contacted in one round as long as no member is known.
+/// Most seeds contacted in one round while no other member is alive or suspect.
 const SEEDS_PER_ROUND: usize = 3;
 
 /// When probe rounds take place, and the addresses to fall back to.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Random participants, those first that share a machine neither with the target nor with this member.
+    /// Random participants, preferring those that share a machine neither with the target nor with this member.
     fn choose_relays(&mut self, member: MemberIndex, target: &MemberInfo) -> Vec<MemberIndex> {
         let mut relays = self.table.participants();
         relays.retain(|relay| *relay != member);
@@ -113,13 +113,14 @@
         self.send(member, Body::Ping { sequence });
     }
 
-    /// Contacts seeds while this member is alone, and now and then a dead member or an unknown seed.
+    /// Contacts seeds while no other member participates, and every [`RECONNECT_EVERY_ROUNDS`] rounds one dead member
+    /// or unknown seed.
     fn contact_others(&mut self, alone: bool) {
         if alone {
             self.contact_seeds();
         }
-        let is_turn = self.schedule.rounds.is_multiple_of(RECONNECT_EVERY_ROUNDS);
-        if !is_turn || plant("gone-for-good") {
+        let is_reconnect_round = self.schedule.rounds.is_multiple_of(RECONNECT_EVERY_ROUNDS);
+        if !is_reconnect_round || plant("gone-for-good") {
             return;
         }
         let mut candidates = self.dead_members();
@@ -183,7 +184,7 @@
         self.actions.push(Action::Send { to, envelope });
     }
 
-    /// Takes an acknowledgement, and passes it on if the ping was sent for another member.
+    /// Handles an acknowledgement, and relays it if the ping was sent on behalf of another member.
     pub(super) fn on_ack(&mut self, member: MemberIndex, sequence: u32, sender: &str) {
         self.detector.on_ack(sequence);
         if let Some((requester, sequence)) = self.detector.take_relayed(sequence, member) {
--- a/crates/membership/src/member/proposing.rs
+++ b/crates/membership/src/member/proposing.rs
@@ -1,4 +1,4 @@
-//! This member's proposals for the next layout: when it proposes, which change, and how the votes are counted.
+//! This member's proposals for the next layout: when it proposes, which change it proposes, and how votes are handled.
 
 use super::Member;
 use super::voting::BootstrapRequest;
@@ -10,15 +10,15 @@
 use crate::membership_table::MemberIndex;
 use crate::message::Body;
 
-/// Holders that operators have asked to remove, at most.
+/// Most removals requested by operators that are pending at once.
 const MAX_PENDING_REMOVALS: usize = 16;
-/// A proposal is abandoned after so many probe intervals.
+/// Time after which a proposal is abandoned, in probe intervals.
 const PROPOSAL_TIMEOUT_INTERVALS: Ticks = 4;
-/// After an abandoned proposal the next one is delayed by up to so many probe intervals, drawn at random.
+/// Longest delay between an abandoned proposal and the next one, in probe intervals; the delay is drawn at random.
 const MAX_BACKOFF_INTERVALS: Ticks = 4;
 
 impl Member {
-    /// Requests the removal of a holder that will not come back.
+    /// Requests the removal of a holder that is stopped for good.
     ///
     /// # Errors
     ///
@@ -43,10 +43,10 @@
         Ok(())
     }
 
-    /// Requests the first layout, of the founders with the storage that they have now.
+    /// Requests the first layout, which consists of the founders with the storage that they have now.
     ///
-    /// The request lasts until there is a layout, and no longer than this process. It may be repeated, as an operator does
-    /// who has not heard the answer.
+    /// The request is pending until there is a layout, and is lost if this process ends. It may be repeated, as by an
+    /// operator to whom the reply was lost.
     ///
     /// # Errors
     ///
@@ -75,7 +75,9 @@
         entry.is_some_and(|(_, entry)| entry.status() == MemberStatus::Alive)
     }
 
-    /// The change wanted of the next layout, as far as members themselves or an operator have asked for it.
+    /// The change to propose next: the bootstrap if there is no layout yet; otherwise the first that applies of removing
+    /// a holder with lost storage, a removal requested by an operator, and adding a member that has been alive for the
+    /// join delay.
     fn wanted_change(&mut self, now: Ticks) -> Option<LayoutChange> {
         if self.voting.layout.version == 0 {
             return self.wanted_bootstrap();
@@ -117,7 +119,7 @@
                 .all(|founder| founder.name == *own_name || self.is_alive(&founder.name))
     }
 
-    /// A holder whose process has come back with new storage: the old storage is lost for certain.
+    /// A holder whose process runs with new storage, which proves that the old storage is lost.
     fn holder_with_lost_storage(&self) -> Option<String> {
         let has_new_storage = |holder: &&ReplicaHolder| {
             self.table.find(&holder.name).is_some_and(|(_, entry)| {
@@ -128,7 +130,7 @@
         lost.map(|holder| holder.name.clone())
     }
 
-    /// The first removal that is still due; those that have been settled are dropped.
+    /// The first requested removal that still applies; earlier ones are dropped.
     fn next_requested_removal(&mut self) -> Option<String> {
         while let Some(name) = self.voting.requested_removals.front().cloned() {
             if self.voting.layout.holder(&name).is_some() && !self.is_participant(&name) {
@@ -152,7 +154,7 @@
 
     /// Whether an alive holder precedes this member by name, and so proposes in its place.
     ///
-    /// Members that disagree on this may propose at the same time, which costs rounds but not safety.
+    /// Members that disagree on this may propose at the same time, which takes more rounds but is safe.
     fn is_preceded(&self) -> bool {
         let own_name = &self.local.update.info.name;
         self.voting.layout.holders.iter().any(|holder| {
@@ -165,7 +167,7 @@
         })
     }
 
-    /// Whether an operator has asked this member for a change.
+    /// Whether a bootstrap or removal that an operator has requested of this member is pending.
     fn has_operator_request(&self) -> bool {
         let voting = &self.voting;
         let bootstraps =
@@ -173,7 +175,7 @@
         bootstraps || !voting.requested_removals.is_empty()
     }
 
-    /// Proposes the wanted change, if it is this member's turn.
+    /// Proposes the wanted change, if this member can vote, has no proposal pending, and no other holder precedes it.
     pub(super) fn propose(&mut self, now: Ticks) {
         let timed_out = |(_, timeout): &(Proposal, Ticks)| now >= *timeout;
         if self.voting.proposal.as_ref().is_some_and(timed_out) {
@@ -208,7 +210,7 @@
         self.send_to_voters(&Body::Prepare { version, ballot });
     }
 
-    /// Gives up the proposal. A random delay keeps two competing proposers from colliding again.
+    /// Abandons the proposal. A random delay keeps two competing proposers from colliding again.
     fn abandon_proposal(&mut self, now: Ticks) {
         self.voting.proposal = None;
         let max_backoff = MAX_BACKOFF_INTERVALS * self.config.probe_interval;
@@ -229,7 +231,7 @@
         }
     }
 
-    /// A vote in this member's own proposal.
+    /// Handles a vote on this member's own proposal.
     pub(super) fn on_vote(
         &mut self,
         now: Ticks,
--- a/crates/membership/src/member/table_sync.rs
+++ b/crates/membership/src/member/table_sync.rs
@@ -10,7 +10,8 @@
 use crate::message::{Body, Envelope, UPDATES_PER_TABLE_SYNC};
 
 impl Member {
-    /// Compares the sender's layout and table digest with this member's own.
+    /// Compares the sender's layout and table digest with this member's own, and requests the layout or sends the table
+    /// if they differ.
     pub(super) fn compare_state(&mut self, now: Ticks, member: MemberIndex, envelope: &Envelope) {
         let (own, other) = (self.voting.layout_version, envelope.layout);
         if other.version == own.version && own.version > 0 && other.digest != own.digest {
@@ -33,7 +34,8 @@
         }
     }
 
-    /// At most one table is sent in a probe interval, and none while gossip may still settle the difference.
+    /// Whether a table may be sent: at most one in a probe interval, and none while queued gossip may still remove the
+    /// difference.
     fn may_sync_table(&self, now: Ticks) -> bool {
         self.gossip.is_empty() && now - self.last_table_sync >= self.config.probe_interval
     }
--- a/crates/membership/src/member/voting.rs
+++ b/crates/membership/src/member/voting.rs
@@ -1,4 +1,4 @@
-//! This member's votes on the next layout, and the layouts that were chosen.
+//! This member's votes on the next layout, and the adoption of chosen layouts.
 
 use std::collections::VecDeque;
 
@@ -11,30 +11,30 @@
 use crate::membership_table::MemberIndex;
 use crate::message::{Body, Envelope, LayoutVersion};
 
-/// Votes that wait to be persisted at most; further ones are not cast.
+/// Most votes that wait to be persisted; further ones are not cast.
 const MAX_PENDING_VOTES: usize = 64;
 
 /// Whether this member is to propose the first layout.
 ///
-/// A founder whose storage is empty can't tell a new fleet from one whose founders have all lost their storage, so only
-/// an operator can.
+/// A founder with empty storage can't distinguish a new fleet from one whose founders have all lost their storage, so
+/// only an operator may ask for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum BootstrapRequest {
-    /// Nobody has asked for it, nor has it been reported that it is missing.
+    /// No operator has asked for it, and no event has reported that it is missing.
     #[default]
     Absent,
-    /// It has been reported that the founders wait for it.
+    /// An event has reported that the founders wait for it.
     ReportedMissing,
     /// An operator has asked for it.
     Requested,
 }
 
-/// A vote that is given once it has been persisted.
+/// A vote that is cast once it has been persisted.
 #[derive(Debug)]
 pub(super) enum PendingVote {
     /// A reply to another member's proposal.
     Reply(Destination, Box<Envelope>),
-    /// The vote in this member's own proposal.
+    /// The vote on this member's own proposal.
     Own(Ballot, AcceptorReply),
 }
 
@@ -45,8 +45,8 @@
     /// Version and digest of `layout`.
     pub(super) layout_version: LayoutVersion,
     pub(super) acceptor: AcceptorState,
-    /// Set once storage has failed.
-    lost_vote: bool,
+    /// Set once persisting has failed; this member then casts no further votes.
+    persist_failed: bool,
     /// The current proposal, and when it times out.
     pub(super) proposal: Option<(Proposal, Ticks)>,
     pub(super) backoff_until: Ticks,
@@ -68,7 +68,7 @@
             layout_version: LayoutVersion::of(&layout),
             layout,
             acceptor: persisted.acceptor,
-            lost_vote: false,
+            persist_failed: false,
             proposal: None,
             backoff_until: now,
             round: 0,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Gives up the current proposal and all votes not given yet.
+    /// Drops the current proposal and all votes that wait to be persisted.
     pub(super) fn abort(&mut self) {
         self.proposal = None;
         self.pending.clear();
@@ -100,7 +100,7 @@
 impl Member {
     pub(super) fn can_vote(&self) -> bool {
         let own = &self.local.update.info;
-        self.voting.holder(own).is_some() && !self.voting.lost_vote
+        self.voting.holder(own).is_some() && !self.voting.persist_failed
     }
 
     pub(super) fn send_layout(&mut self, member: MemberIndex) {
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Whether this member votes on `version`. A proposer that is behind is sent the layout, one that is ahead is
-    /// asked for it.
+    /// Whether this member votes on `version`. Sends the layout to a proposer with an older one, and requests it from one
+    /// with a newer one.
     fn accepts_vote_request(&mut self, member: MemberIndex, version: u64) -> bool {
         let next = self.voting.next_version();
         if version < next {
@@ -176,7 +176,7 @@
         version == next && self.can_vote() && self.voting.pending.len() < MAX_PENDING_VOTES
     }
 
-    /// Requests that the current state be persisted, and returns the request's number.
+    /// Requests that the current state be persisted, and returns the sequence number of the request.
     pub(super) fn persist(&mut self) -> u64 {
         let voting = &mut self.voting;
         voting.last_persist_sequence += 1;
@@ -193,7 +193,7 @@
         sequence
     }
 
-    /// Answers a proposer: a rejection at once, a vote once it has been persisted.
+    /// Replies to a proposer: with a rejection at once, with a vote once it has been persisted.
     fn reply_to_proposer(
         &mut self,
         member: MemberIndex,
@@ -233,7 +233,8 @@
         self.voting.pending.push_back((sequence, vote));
     }
 
-    /// All state up to this request has been persisted.
+    /// Handles the completion of the persist request `sequence` and of all earlier ones: casts the votes that waited
+    /// for them.
     pub fn on_persisted(&mut self, now: Ticks, sequence: u64) -> Vec<Action> {
         let is_persisted = |(number, _): &mut (u64, PendingVote)| *number <= sequence;
         while let Some((_, vote)) = self.voting.pending.pop_front_if(is_persisted) {
@@ -250,9 +251,9 @@
         self.take_actions()
     }
 
-    /// Storage has failed: this member casts no further votes.
+    /// Handles a failure to persist: this member casts no further votes.
     pub fn on_persist_failed(&mut self) -> Vec<Action> {
-        if !std::mem::replace(&mut self.voting.lost_vote, true) {
+        if !std::mem::replace(&mut self.voting.persist_failed, true) {
             self.report(MembershipEvent::PersistenceFailed);
         }
         self.voting.abort();
--- a/crates/membership/src/member_info.rs
+++ b/crates/membership/src/member_info.rs
@@ -1,4 +1,4 @@
-//! What a member says of itself, and what members say of each other.
+//! Descriptions of members, and the updates about members that are disseminated.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,14 +7,14 @@
 /// Longest name, address, zone, machine and program version accepted, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 
-/// Tells one process that uses a name from another, and one that has kept its storage from one that has lost it.
+/// Distinguishes successive processes of one name, and a process that has kept its storage from one that has lost it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation {
-    /// Rises with each start of the name. Processes with equal numbers are told apart by their storage.
+    /// Rises with each start of a process of this name. Equal numbers are told apart by the storage.
     pub number: u64,
-    /// Drawn at random when the storage is created, and kept for as long as that lasts; never 0.
+    /// Drawn at random when the storage is created, and stored in it; never 0.
     pub storage_id: u64,
 }
 
@@ -29,9 +29,9 @@
     pub zone: String,
     /// Machine; processes on one machine fail together.
     pub machine: String,
-    /// Version of the program that it runs.
+    /// Version of the program that the member runs.
     pub program_version: String,
-    /// The process and its storage.
+    /// The running process and its storage.
     pub incarnation: Incarnation,
 }
 
@@ -52,14 +52,16 @@
     }
 }
 
-/// A statement about a member, disseminated by gossip. Field order is part of the wire format.
+/// A statement about a member, disseminated by gossip and table synchronization.
+///
+/// Field order is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// Description of the member that the update is about.
     pub info: MemberInfo,
     /// Raised by the member itself, and by no other, each time it refutes a statement about it.
     pub refutation_count: u32,
-    /// Its status.
+    /// The member's status according to the sender of the update.
     pub status: MemberStatus,
 }
 
--- a/crates/membership/src/member_status.rs
+++ b/crates/membership/src/member_status.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariants
 //!
-//! A member that has left comes back with a new incarnation only.
+//! A member that has left becomes alive again only with a new incarnation.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,13 +11,13 @@
 /// The order of variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberStatus {
-    /// It answers, as far as known.
+    /// It acknowledges probes, as far as known.
     Alive,
-    /// It has not answered, and may still refute that it is dead.
+    /// It has not acknowledged a probe, and is declared dead unless it refutes the suspicion in time.
     Suspect,
     /// It has not refuted the suspicion in time. It may be alive all the same.
     Dead,
-    /// It has left the fleet itself.
+    /// It has announced that it leaves the fleet.
     Left,
 }
 
@@ -40,7 +40,7 @@
     NewIncarnation,
 }
 
-/// What follows from a transition.
+/// What the member has to do after a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusEffect {
     /// Nothing; the status is unchanged.
@@ -82,7 +82,7 @@
 
 /// The first matching transition applies; without one, nothing changes.
 const TRANSITIONS: [Transition; 13] = [
-    // A new incarnation starts alive, whatever the one before came to.
+    // A new incarnation starts alive, whatever the status of the previous one.
     transition(None, NewIncarnation, Alive, Gossip),
     // A member that has left is neither suspected nor revived.
     transition(Some(Left), ReportedAlive, Left, Nothing),
@@ -95,11 +95,11 @@
     // A new suspicion after a refutation has the whole timeout again.
     transition(Some(Suspect), ReportedSuspect, Suspect, GossipAndSuspect),
     transition(Some(Suspect), SuspicionExpired, Dead, Gossip),
-    // A refutation: the member alone can raise its count.
+    // A refutation: only the member itself can raise its refutation count.
     transition(None, ReportedAlive, Alive, Gossip),
     transition(Some(Alive), ReportedDead, Dead, Gossip),
     transition(Some(Suspect), ReportedDead, Dead, Gossip),
-    // A newer suspicion of a dead member: it has refuted its death to others meanwhile.
+    // A newer suspicion of a dead member: other members have received a refutation of its death meanwhile.
     transition(Some(Dead), ReportedSuspect, Suspect, GossipAndSuspect),
 ];
 
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -14,7 +14,7 @@
 use crate::member_info::{Incarnation, MemberUpdate};
 use crate::member_status::{MemberStatus, StatusEffect, StatusInput, next_status};
 
-/// The place of a member in a [`MembershipTable`]. It may be reused once the member has been forgotten.
+/// Index of a member's entry in a [`MembershipTable`]. It may be reused once the member has been forgotten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberIndex(pub usize);
 
@@ -26,11 +26,11 @@
     /// When the status last changed.
     pub status_since: Ticks,
     /// When a message from the member itself was last received.
-    pub last_heard: Option<Ticks>,
+    pub last_message_at: Option<Ticks>,
 }
 
 impl MemberEntry {
-    /// The member's status.
+    /// The status in the newest update.
     pub fn status(&self) -> MemberStatus {
         self.update.status
     }
@@ -44,7 +44,7 @@
 /// The outcome of an update or observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The status of this member stays as it was.
+    /// The status of this member has not changed.
     Unchanged(MemberIndex),
     /// The status has changed, or the member was not known before.
     Changed {
@@ -57,7 +57,7 @@
     },
     /// The update is about an incarnation of this member that has ended.
     EndedIncarnation(MemberIndex),
-    /// A process elsewhere, with other storage, claims the name of this member, which is participating.
+    /// A process at another address, with other storage, uses the name of this member, which is participating.
     NameConflict(MemberIndex),
     /// The member is not known, and there is no room for it or no use in adding it.
     Rejected,
@@ -66,7 +66,7 @@
 /// Where an update comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// The member that it is about.
+    /// The member that the update is about.
     Subject,
     /// Gossip of another member.
     Gossip,
@@ -80,7 +80,7 @@
     entries: Vec<Option<MemberEntry>>,
     index: BTreeMap<String, MemberIndex>,
     max_members: usize,
-    /// Digest of the participants, until something changes.
+    /// Cached digest of the participants; `None` after a change.
     participants_digest: Cell<Option<u64>>,
 }
 
@@ -207,7 +207,7 @@
             return self.replace_incarnation(now, member, update, source);
         }
         if source == UpdateSource::Subject {
-            entry.last_heard = Some(now);
+            entry.last_message_at = Some(now);
         }
         let known_order = (entry.update.refutation_count, entry.status());
         if (update.refutation_count, update.status) <= known_order {
@@ -240,10 +240,10 @@
             return ApplyOutcome::Rejected;
         };
         let (known, info) = (&entry.update.info, &update.info);
-        let is_elsewhere = info.address != known.address;
+        let has_other_address = info.address != known.address;
         let has_other_storage = info.incarnation.storage_id != known.incarnation.storage_id;
         if source == UpdateSource::Subject
-            && is_elsewhere
+            && has_other_address
             && has_other_storage
             && entry.is_participating()
         {
@@ -332,7 +332,7 @@
     MemberEntry {
         update,
         status_since: now,
-        last_heard: (source == UpdateSource::Subject).then_some(now),
+        last_message_at: (source == UpdateSource::Subject).then_some(now),
     }
 }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -7,7 +7,7 @@
 use crate::layout::{Layout, MAX_HOLDERS};
 use crate::member_info::{MAX_TEXT_BYTES, MemberInfo, MemberUpdate};
 
-/// Updates in one part of a membership table.
+/// Most updates in one [`Body::TableSync`]; a larger table is sent in several.
 pub const UPDATES_PER_TABLE_SYNC: usize = 64;
 
 /// Upper bound of an encoded [`MemberInfo`]: five texts with their lengths, and the numbers around them.
@@ -19,7 +19,7 @@
 /// The version of a layout and its digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LayoutVersion {
-    /// The version.
+    /// [`Layout::version`].
     pub version: u64,
     /// [`Layout::digest`].
     pub digest: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// A message with what every message carries.
+/// A message together with the sender's state, which every message carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The sender's update about itself.
@@ -44,13 +44,13 @@
     pub layout: LayoutVersion,
     /// Digest of the sender's membership table.
     pub table_digest: u64,
-    /// Gossip.
+    /// Updates about members, piggybacked on the messages that carry gossip.
     pub updates: Vec<MemberUpdate>,
-    /// The message itself.
+    /// The content, by the kind of the message.
     pub body: Body,
 }
 
-/// A message.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
     /// A probe.
@@ -79,21 +79,21 @@
     },
     /// A part of the sender's membership table.
     TableSync {
-        /// The entries.
+        /// The newest update about each member, [`UPDATES_PER_TABLE_SYNC`] at most.
         updates: Vec<MemberUpdate>,
     },
     /// A request for the current layout.
     LayoutRequest,
     /// A layout that has been chosen.
     ChosenLayout {
-        /// The layout.
+        /// The layout, which is adopted if it is newer than the receiver's.
         layout: Layout,
     },
     /// Paxos phase 1a.
     Prepare {
         /// The layout version to decide.
         version: u64,
-        /// The ballot.
+        /// The ballot to promise.
         ballot: Ballot,
     },
     /// Paxos phase 1b.
@@ -109,9 +109,9 @@
     Accept {
         /// The layout version to decide.
         version: u64,
-        /// The ballot.
+        /// The ballot in which the value is proposed.
         ballot: Ballot,
-        /// The value.
+        /// The proposed value.
         layout: Layout,
     },
     /// Paxos phase 2b.
