--- a/crates/membership/src/member/proposing.rs
+++ b/crates/membership/src/member/proposing.rs
@@ -75,9 +75,9 @@
         entry.is_some_and(|(_, entry)| entry.status() == MemberStatus::Alive)
     }
 
-    /// The change to propose next: the bootstrap if there is no layout yet; otherwise the first that applies of removing
-    /// a holder with lost storage, a removal requested by an operator, and adding a member that has been alive for the
-    /// join delay.
+    /// The change to propose next: the bootstrap if there is no layout yet; otherwise the first that applies of
+    /// removing a holder with lost storage, a removal requested by an operator, and adding a member that has been alive
+    /// for the join delay.
     fn wanted_change(&mut self, now: Ticks) -> Option<LayoutChange> {
         if self.voting.layout.version == 0 {
             return self.wanted_bootstrap();
--- a/crates/membership/src/member/voting.rs
+++ b/crates/membership/src/member/voting.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Whether this member votes on `version`. Sends the layout to a proposer with an older one, and requests it from one
-    /// with a newer one.
+    /// Whether this member votes on `version`. Sends the layout to a proposer with an older one, and requests it from a
+    /// proposer with a newer one.
     fn accepts_vote_request(&mut self, member: MemberIndex, version: u64) -> bool {
         let next = self.voting.next_version();
         if version < next {
--- a/crates/membership/tests/components.rs
+++ b/crates/membership/tests/components.rs
@@ -1,4 +1,4 @@
-//! The parts of a member on their own: failure detector, gossip queue, acceptor and proposer.
+//! Unit tests of the parts of a member: failure detector, gossip queue, acceptor and proposer.
 
 use fastrand::Rng;
 use leverpoint_membership::consensus::{
@@ -9,7 +9,7 @@
 use leverpoint_membership::membership_table::MemberIndex;
 use leverpoint_membership::{Incarnation, Layout, ReplicaHolder};
 
-fn holder(name: &str) -> ReplicaHolder {
+fn holder_named(name: &str) -> ReplicaHolder {
     ReplicaHolder {
         name: name.into(),
         storage_id: 7,
@@ -18,14 +18,14 @@
     }
 }
 
-fn layout(names: &[&str]) -> Layout {
+fn layout_of(names: &[&str]) -> Layout {
     Layout {
         version: 1,
-        holders: names.iter().map(|name| holder(name)).collect(),
+        holders: names.iter().map(|name| holder_named(name)).collect(),
     }
 }
 
-fn ballot(round: u32) -> Ballot {
+fn ballot_in_round(round: u32) -> Ballot {
     Ballot {
         round,
         proposer: Incarnation::default(),
@@ -92,40 +92,46 @@
 #[test]
 fn an_acceptor_rejects_ballots_below_its_promise() {
     let mut acceptor = AcceptorState::default();
-    let value = layout(&["a"]);
+    let value = layout_of(&["a"]);
     assert_eq!(
-        acceptor.on_prepare(ballot(2)),
+        acceptor.on_prepare(ballot_in_round(2)),
         AcceptorReply::Promised(None)
     );
     assert_eq!(
-        acceptor.on_accept(ballot(1), &value),
-        AcceptorReply::Rejected(ballot(2))
+        acceptor.on_accept(ballot_in_round(1), &value),
+        AcceptorReply::Rejected(ballot_in_round(2))
     );
     assert_eq!(
-        acceptor.on_accept(ballot(2), &value),
+        acceptor.on_accept(ballot_in_round(2), &value),
         AcceptorReply::Accepted
     );
     assert_eq!(
-        acceptor.on_prepare(ballot(3)),
-        AcceptorReply::Promised(Some((ballot(2), value)))
+        acceptor.on_prepare(ballot_in_round(3)),
+        AcceptorReply::Promised(Some((ballot_in_round(2), value)))
     );
 }
 
 #[test]
 fn a_proposer_adopts_the_value_accepted_at_the_highest_ballot() {
-    let base = layout(&["a", "b", "c"]);
-    let accepted = |round, name: &str| Some((ballot(round), base.without_holder(name)));
+    let base = layout_of(&["a", "b", "c"]);
+    let accepted = |round, name: &str| Some((ballot_in_round(round), base.without_holder(name)));
     let change = LayoutChange::Remove("a".into());
-    let mut proposal = Proposal::new(ballot(9), base.clone(), change);
-    let step = proposal.on_promise(holder("a"), ballot(9), accepted(2, "b"));
+    let mut proposal = Proposal::new(ballot_in_round(9), base.clone(), change);
+    let step = proposal.on_promise(holder_named("a"), ballot_in_round(9), accepted(2, "b"));
     assert_eq!(step, ProposalStep::Wait);
-    let step = proposal.on_promise(holder("b"), ballot(9), accepted(1, "c"));
+    let step = proposal.on_promise(holder_named("b"), ballot_in_round(9), accepted(1, "c"));
     let value = base.without_holder("b");
     assert_eq!(step, ProposalStep::SendAccept(value.clone()));
-    assert_eq!(proposal.on_accepted("a", ballot(9)), ProposalStep::Wait);
-    assert_eq!(proposal.on_accepted("a", ballot(9)), ProposalStep::Wait);
     assert_eq!(
-        proposal.on_accepted("c", ballot(9)),
+        proposal.on_accepted("a", ballot_in_round(9)),
+        ProposalStep::Wait
+    );
+    assert_eq!(
+        proposal.on_accepted("a", ballot_in_round(9)),
+        ProposalStep::Wait
+    );
+    assert_eq!(
+        proposal.on_accepted("c", ballot_in_round(9)),
         ProposalStep::Chosen(value)
     );
 }
--- a/crates/membership/tests/simulated_fleet/mod.rs
+++ b/crates/membership/tests/simulated_fleet/mod.rs
@@ -9,13 +9,14 @@
     MembershipConfig, PersistedState, Ticks,
 };
 
-/// Parameters of the simulated fleet.
+/// The default parameters, with a smaller membership table.
 pub(crate) const CONFIG: MembershipConfig = MembershipConfig {
     max_members: 64,
     ..DEFAULT_CONFIG
 };
 
-pub(crate) fn info(name: &str, address: &str) -> MemberInfo {
+/// Describes a member in zone `a` on a machine of its own.
+pub(crate) fn member_info(name: &str, address: &str) -> MemberInfo {
     MemberInfo {
         name: name.into(),
         address: address.into(),
@@ -29,17 +30,24 @@
 /// Processes by address, with their storage, on a network that blocks and loses messages.
 pub(crate) struct Fleet {
     pub now: Ticks,
+    /// Running processes, paused ones included, by address.
     pub processes: BTreeMap<String, Member>,
+    /// The state that each process has persisted, by address; it outlives the process.
     pub disks: BTreeMap<String, PersistedState>,
+    /// Addresses of processes that neither run nor receive messages.
     pub paused: BTreeSet<String>,
-    /// Blocked links: sender, receiver.
-    pub cut: BTreeSet<(String, String)>,
-    pub loss: f64,
-    pub persists: bool,
+    /// Links, each as sender and receiver address, that drop all messages.
+    pub blocked_links: BTreeSet<(String, String)>,
+    /// Share of the messages that is lost, from 0 to 1.
+    pub loss_rate: f64,
+    /// Whether requests to persist are completed; otherwise they stay pending.
+    pub persist_completes: bool,
     pub random: Rng,
+    /// Messages by delivery time and number, each with sender, receiver and content.
     pub in_flight: BTreeMap<(Ticks, u64), (String, String, Envelope)>,
-    pub sent: u64,
+    pub messages_sent: u64,
     pub founders: Vec<String>,
+    /// Events in order of time: milliseconds, address, event.
     pub reports: Vec<String>,
 }
 
@@ -50,158 +58,184 @@
             processes: BTreeMap::new(),
             disks: BTreeMap::new(),
             paused: BTreeSet::new(),
-            cut: BTreeSet::new(),
-            loss: 0.0,
-            persists: true,
+            blocked_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            persist_completes: true,
             random: Rng::with_seed(7),
             in_flight: BTreeMap::new(),
-            sent: 0,
-            founders: founders.iter().map(|f| (*f).to_owned()).collect(),
+            messages_sent: 0,
+            founders: founders.iter().map(|name| (*name).to_owned()).collect(),
             reports: Vec::new(),
         }
     }
 
-    /// Starts a process with the storage of its address.
-    pub(crate) fn start(&mut self, name: &str, at: &str, number: u64) {
-        let mut kept = self.disks.get(at).cloned().unwrap_or_default();
-        if kept.incarnation.storage_id == 0 {
-            kept.incarnation.storage_id = self.random.u64(1..);
+    /// Starts a process with the storage of its address, or with new storage if there is none.
+    ///
+    /// Its incarnation number is `number`, or one above the persisted one if that is higher.
+    pub(crate) fn start(&mut self, name: &str, address: &str, number: u64) {
+        let mut persisted = self.disks.get(address).cloned().unwrap_or_default();
+        if persisted.incarnation.storage_id == 0 {
+            persisted.incarnation.storage_id = self.random.u64(1..);
         }
-        kept.incarnation.number = number.max(kept.incarnation.number + 1);
-        self.disks.insert(at.into(), kept.clone());
+        persisted.incarnation.number = number.max(persisted.incarnation.number + 1);
+        self.disks.insert(address.into(), persisted.clone());
         let seed = self.random.u64(..);
-        let mut member = Member::new(self.now, info(name, at), kept, &self.founders, CONFIG, seed);
+        let mut member = Member::new(
+            self.now,
+            member_info(name, address),
+            persisted,
+            &self.founders,
+            CONFIG,
+            seed,
+        );
         member.set_seeds(&["p0".into(), "p1".into()]);
-        self.processes.insert(at.into(), member);
+        self.processes.insert(address.into(), member);
     }
 
-    pub(crate) fn perform(&mut self, at: &str, all: Vec<Action>) {
-        for one in all {
-            match one {
+    /// Carries out the actions of the process at `sender`.
+    pub(crate) fn perform_actions(&mut self, sender: &str, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Send {
                     to: Destination { address, .. },
                     envelope,
                 } => {
-                    self.sent += 1;
-                    let lost = self.random.f64() < self.loss;
-                    if !lost && !self.cut.contains(&(at.to_owned(), address.clone())) {
-                        let next_deadline = (self.now + self.random.i64(5..20), self.sent);
+                    self.messages_sent += 1;
+                    let lost = self.random.f64() < self.loss_rate;
+                    if !lost
+                        && !self
+                            .blocked_links
+                            .contains(&(sender.to_owned(), address.clone()))
+                    {
+                        let delivery_key = (self.now + self.random.i64(5..20), self.messages_sent);
                         self.in_flight
-                            .insert(next_deadline, (at.to_owned(), address, *envelope));
+                            .insert(delivery_key, (sender.to_owned(), address, *envelope));
                     }
                 }
                 Action::Persist { sequence, state } => {
-                    self.disks.insert(at.to_owned(), *state);
-                    if self.persists {
-                        let more = self
+                    self.disks.insert(sender.to_owned(), *state);
+                    if self.persist_completes {
+                        let further_actions = self
                             .processes
-                            .get_mut(at)
+                            .get_mut(sender)
                             .unwrap()
                             .on_persisted(self.now, sequence);
-                        self.perform(at, more);
+                        self.perform_actions(sender, further_actions);
                     }
                 }
                 Action::Report(event) => self
                     .reports
-                    .push(format!("{} {at} {event:?}", self.now / 10)),
+                    .push(format!("{} {sender} {event:?}", self.now / 10)),
             }
         }
     }
 
-    pub(crate) fn until(&mut self, end: Ticks) {
+    /// Runs the fleet up to the time `end`: delivers messages and calls `tick` at each deadline.
+    pub(crate) fn run_until(&mut self, end: Ticks) {
         loop {
-            let awake = |(at, _): &(&String, &Member)| !self.paused.contains(*at);
+            let is_running = |(address, _): &(&String, &Member)| !self.paused.contains(*address);
             let next_deadline = self
                 .processes
                 .iter()
-                .filter(awake)
-                .map(|(at, member)| (member.next_deadline(), at.clone()))
+                .filter(is_running)
+                .map(|(address, member)| (member.next_deadline(), address.clone()))
                 .min();
-            let next = self.in_flight.first_key_value().map(|((at, _), _)| *at);
-            let (Some((next_deadline, at)), next) = (next_deadline, next.unwrap_or(Ticks::MAX))
+            let next_delivery = self
+                .in_flight
+                .first_key_value()
+                .map(|((delivered_at, _), _)| *delivered_at);
+            let (Some((next_deadline, address)), next_delivery) =
+                (next_deadline, next_delivery.unwrap_or(Ticks::MAX))
             else {
                 return;
             };
-            if next_deadline.min(next) > end {
+            if next_deadline.min(next_delivery) > end {
                 break;
             }
-            self.now = self.now.max(next_deadline.min(next));
-            if next <= next_deadline {
+            self.now = self.now.max(next_deadline.min(next_delivery));
+            if next_delivery <= next_deadline {
                 let (_, (_, to, envelope)) = self.in_flight.pop_first().unwrap();
                 if self.paused.contains(&to) {
                     continue;
                 }
                 if let Some(member) = self.processes.get_mut(&to) {
-                    let all = member.on_message(self.now, &envelope);
-                    self.perform(&to, all);
+                    let actions = member.on_message(self.now, &envelope);
+                    self.perform_actions(&to, actions);
                 }
             } else {
-                let all = self.processes.get_mut(&at).unwrap().tick(self.now);
-                self.perform(&at, all);
+                let actions = self.processes.get_mut(&address).unwrap().tick(self.now);
+                self.perform_actions(&address, actions);
             }
         }
         self.now = end;
     }
 
-    pub(crate) fn run(&mut self, seconds: i64) {
-        self.until(self.now + seconds * 10_000);
+    pub(crate) fn run_seconds(&mut self, seconds: i64) {
+        self.run_until(self.now + seconds * 10_000);
     }
 
-    pub(crate) fn cut_both(&mut self, one: &[&str], other: &[&str]) {
-        for a in one {
-            for b in other {
-                self.cut.insert(((*a).into(), (*b).into()));
-                self.cut.insert(((*b).into(), (*a).into()));
+    /// Blocks all links between two groups of addresses, in both directions.
+    pub(crate) fn block_both_ways(&mut self, one: &[&str], other: &[&str]) {
+        for first in one {
+            for second in other {
+                self.blocked_links
+                    .insert(((*first).into(), (*second).into()));
+                self.blocked_links
+                    .insert(((*second).into(), (*first).into()));
             }
         }
     }
 
-    /// Each process with its layout version and the members that it knows.
-    pub(crate) fn summaries(&self) -> String {
-        let one = |(at, member): (&String, &Member)| {
-            let status = |l: MemberSummary| {
+    /// One line for each process: its status, its layout version and the members that it knows, holders marked by `+`.
+    pub(crate) fn describe(&self) -> String {
+        let describe_process = |(address, member): (&String, &Member)| {
+            let describe_member = |summary: MemberSummary| {
                 format!(
                     "{}{} {:?}",
-                    l.info.name,
-                    if l.in_layout { "+" } else { "" },
-                    l.status
+                    summary.info.name,
+                    if summary.in_layout { "+" } else { "" },
+                    summary.status
                 )
             };
             let summaries: Vec<_> = member
                 .summaries(self.now)
                 .into_iter()
-                .filter(|l| !l.is_self)
-                .map(status)
+                .filter(|summary| !summary.is_self)
+                .map(describe_member)
                 .collect();
             format!(
-                "{at} {:?} v{}: {}\n",
+                "{address} {:?} v{}: {}\n",
                 member.status(),
                 member.layout().version,
                 summaries.join(", ")
             )
         };
-        self.processes.iter().map(one).collect()
+        self.processes.iter().map(describe_process).collect()
     }
 
-    pub(crate) fn status(&self, at: &str, name: &str) -> Option<MemberStatus> {
-        self.processes[at]
+    /// The status of the member `name` as the process at `address` sees it.
+    pub(crate) fn status_seen_by(&self, address: &str, name: &str) -> Option<MemberStatus> {
+        self.processes[address]
             .table()
             .find(name)
             .map(|(_, entry)| entry.status())
     }
 
-    pub(crate) fn reports_of(&self, what: &str) -> usize {
+    /// Number of reported events whose line contains `text`.
+    pub(crate) fn count_reports(&self, text: &str) -> usize {
         self.reports
             .iter()
-            .filter(|line| line.contains(what))
+            .filter(|line| line.contains(text))
             .count()
     }
 }
 
-pub(crate) fn fleet(many: usize, founders: usize) -> Fleet {
-    let names: Vec<String> = (0..many).map(|n| format!("n{n}")).collect();
-    let first: Vec<&str> = names.iter().take(founders).map(String::as_str).collect();
-    let mut fleet = Fleet::new(&first);
+/// Starts the members `n0`, `n1`, ... at the addresses `p0`, `p1`, ..., the first of them founders, and requests the
+/// bootstrap at `p0` if there are founders.
+pub(crate) fn start_fleet(members: usize, founders: usize) -> Fleet {
+    let names: Vec<String> = (0..members).map(|n| format!("n{n}")).collect();
+    let founder_names: Vec<&str> = names.iter().take(founders).map(String::as_str).collect();
+    let mut fleet = Fleet::new(&founder_names);
     for (n, name) in names.iter().enumerate() {
         fleet.start(name, &format!("p{n}"), 100);
     }
