--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,47 +1,47 @@
-//! The operations that a log needs of a disk, and the directory of the operating system that does them.
+//! The file operations that storage needs, and their implementation on a directory of the operating system.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::PathBuf;
 
-/// Files by name.
+/// A flat set of files with names.
 ///
 /// # Errors
 ///
-/// Every operation fails where the disk does; no failure is hidden.
+/// Every operation returns the error of the disk; none is hidden.
 pub trait Disk {
-    /// The names of all files.
+    /// Returns the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// The bytes of a file.
+    /// Returns the content of a file; one that does not exist is an error of kind [`io::ErrorKind::NotFound`].
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// Appends to a file, which is created where there is none.
+    /// Appends to a file, which is created if it does not exist. The bytes are durable only after [`Disk::sync`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what was appended durable.
+    /// Makes all bytes appended to a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Replaces the file `to` by `from`, entirely or not at all.
+    /// Renames `from` to `to` atomically and durably, replacing the file `to` if it exists.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file.
+    /// Removes a file; one that does not exist is an error of kind [`io::ErrorKind::NotFound`].
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory that this process alone uses for as long as it is held.
+/// A directory that is locked for this process until the value is dropped.
 pub struct Directory {
     path: PathBuf,
-    /// The file that was appended to last, kept open.
+    /// Name and handle of the file last appended to or synced, kept open.
     open: Option<(String, File)>,
     _lock: File,
 }
 
-/// Bytes of one file that are read at most.
+/// Bytes read from one file at most; what follows is ignored.
 const MAX_FILE_LEN: u64 = 1 << 30;
 const LOCK_FILE: &str = "lock";
 
 impl Directory {
-    /// Opens a directory, which is created where there is none, and locks it.
+    /// Opens a directory, which is created if it does not exist, and locks it.
     ///
     /// # Errors
     ///
-    /// Fails where it can't be created, or another process uses it.
+    /// The directory can't be created or locked, or another process has locked it.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Directory> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
@@ -51,7 +51,7 @@
             .open(path.join(LOCK_FILE))?;
         lock.try_lock().map_err(|e| match e {
             TryLockError::WouldBlock => {
-                io::Error::new(io::ErrorKind::AlreadyExists, "another process uses it")
+                io::Error::new(io::ErrorKind::AlreadyExists, "in use by another process")
             }
             TryLockError::Error(e) => e,
         })?;
@@ -62,7 +62,8 @@
         })
     }
 
-    fn handle(&mut self, name: &str) -> io::Result<&mut File> {
+    /// The file open for appending; created, with its directory entry synced, if it does not exist.
+    fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
         if self.open.as_ref().is_none_or(|(open, _)| open != name) {
             let created = !self.path.join(name).exists();
             let file = OpenOptions::new()
@@ -70,7 +71,7 @@
                 .append(true)
                 .open(self.path.join(name))?;
             if created {
-                // Without its name in the directory a file is lost with all that was synced to it.
+                // Until its directory entry is durable, a crash loses the file with all that was synced to it.
                 File::open(&self.path)?.sync_all()?;
             }
             self.open = Some((name.to_owned(), file));
@@ -99,11 +100,11 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.handle(name)?.write_all(bytes)
+        self.open_for_append(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.handle(name)?.sync_data()
+        self.open_for_append(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/storage/src/group_commit.rs
+++ b/crates/storage/src/group_commit.rs
@@ -1,8 +1,9 @@
-//! Group commit: one thread that waits for the disk, and the bounded queue before it.
+//! Group commit: a thread that commits records in batches, and its bounded queue.
 //!
 //! # Invariants
 //!
-//! Appending never waits. A record that finds the queue full is dropped, counted, and never reported as persisted.
+//! Appending never blocks. A record that arrives while the queue is full is dropped and counted, and is not reported as
+//! accepted.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -15,39 +16,39 @@
 use crate::record_frame::LogRecord;
 use crate::segmented_log::SegmentedLog;
 
-/// Records that wait at most: a second of a busy gateway.
+/// Most queued records: those of about one second of a busy gateway.
 const MAX_QUEUED: usize = 8_192;
-/// Records of one commit at most.
+/// Most records in one commit.
 const MAX_BATCH: usize = 1_024;
 const THREAD_NAME: &str = "store";
 
-/// What has become of the records handed over.
+/// Counters of a group commit, shared with its thread.
 #[derive(Debug, Default)]
 pub struct CommitStats {
     /// Records committed.
     pub records: AtomicU64,
-    /// Commits.
+    /// Commits done, each of one batch of records.
     pub commits: AtomicU64,
-    /// Records dropped.
+    /// Records dropped because the queue was full or the thread had ended.
     pub dropped: AtomicU64,
-    /// The disk has failed; nothing more is committed.
+    /// Set once a commit has failed; nothing is committed after it.
     pub failed: AtomicBool,
     /// The longest commit, in microseconds.
     pub longest_commit_micros: AtomicU64,
 }
 
-/// The sending end of a group commit.
+/// Queues records for a thread that commits them to a log in batches.
 pub struct GroupCommit {
     queue: RefCell<Option<SyncSender<LogRecord>>>,
     thread: RefCell<Option<JoinHandle<()>>>,
-    /// What has become of the records.
+    /// Counters, updated by the thread.
     pub stats: Arc<CommitStats>,
 }
 
 impl GroupCommit {
-    /// Starts the thread, which commits what has come together within `interval`.
+    /// Starts the thread. It collects the records that arrive within `interval` of the first and commits them together.
     ///
-    /// A crash loses what is younger than that and one commit.
+    /// A crash may lose the records of the last `interval` and of one commit.
     pub fn start<D: Disk + Send + 'static>(
         log: SegmentedLog<D>,
         interval: Duration,
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Hands over a record without waiting; false where it is not going to be committed.
+    /// Queues a record without blocking. Returns false if it will not be committed: the queue is closed or full, or an
+    /// earlier commit has failed.
     pub fn append(&self, record: LogRecord) -> bool {
         let queue = self.queue.borrow();
         let Some(queue) = &*queue else {
@@ -78,17 +80,18 @@
         !self.stats.failed.load(Relaxed)
     }
 
-    /// Commits what was handed over, and that nothing follows, unless a record was dropped.
+    /// Commits the queued records and waits for the thread to end. Unless a record was dropped, the last record is a
+    /// [`LogRecord::Closed`] with the time `at`, in ticks of 100 µs.
     pub fn close(&self, at: i64) {
         if self.stats.dropped.load(Relaxed) == 0
             && let Some(queue) = &*self.queue.borrow()
         {
-            // Where the thread has ended the log has failed, and does not end in order.
+            // This fails if the thread has ended; then the log has failed and must not end with `Closed`.
             let _ = queue.send(LogRecord::Closed { at });
         }
         self.queue.replace(None);
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread was reported there.
+            // A panic of the thread has been reported by the panic hook.
             let _ = thread.join();
         }
     }
@@ -113,7 +116,7 @@
     }
 }
 
-/// Waits for a record and collects what follows within `interval`; none once the queue is closed.
+/// Waits for a record and collects those that follow within `interval`; `None` once the queue is closed and empty.
 fn next_batch(records: &Receiver<LogRecord>, interval: Duration) -> Option<Vec<LogRecord>> {
     let mut batch = vec![records.recv().ok()?];
     let deadline = Instant::now() + interval;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,9 @@
 //! Durable storage of a gateway: a segmented log with checksums, snapshots and recovery.
 //!
-//! The log keeps session positions, primaries and replicated records. Recovery stops at the first torn record of a file
-//! and reports it; what is not recovered counts as never seen, so a damaged log costs no guarantee. [`Disk`] is a trait,
-//! so that tests can inject every fault of a disk. [`GroupCommit`] is the one thread that waits for the disk.
+//! The log holds session positions, primaries and replicated records. Recovery of a file stops at its first torn
+//! record, which is reported. What is not recovered counts as never received, so a damaged log breaks no guarantee.
+//! [`Disk`] is a trait, so that tests can inject every fault of a disk. [`GroupCommit`] moves the waiting for the disk
+//! to a thread of its own.
 
 #![warn(missing_docs)]
 
--- a/crates/storage/src/record_frame.rs
+++ b/crates/storage/src/record_frame.rs
@@ -1,64 +1,65 @@
-//! Frames of records in a file: kind, length, body, checksum.
+//! Binary frames of log records: kind, length, body, checksum, with all integers in big-endian order.
 //!
-//! The checksum covers the number of the file, so that what is left of another file is none of its records.
+//! The checksum includes the file number, so that bytes left over from another file are not decoded as records.
 
 /// A record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogRecord {
-    /// Up to where a session's writes were answered.
+    /// The replication position up to which a session's writes have been acknowledged.
     Position {
-        /// The session.
+        /// Hash of the session, or [`ALL_SESSIONS`](crate::ALL_SESSIONS).
         session: u64,
-        /// The replication position.
+        /// The replication position, in ticks of 100 µs.
         position: i64,
     },
     /// The primary of a replica set.
     Primary {
-        /// The replica set.
+        /// Number of the replica set.
         replica_set: u16,
-        /// The name of the server.
+        /// Name of the primary; truncated if it does not fit into a body of [`MAX_BODY_LEN`].
         server: String,
-        /// When it was observed.
+        /// When it was observed to be the primary, in ticks of 100 µs.
         observed_at: i64,
     },
-    /// All that was answered up to then stands before this.
+    /// All writes acknowledged up to a time precede this record.
     CompleteUntil {
-        /// The time.
+        /// The time, in ticks of 100 µs.
         at: i64,
     },
-    /// The end of a snapshot.
+    /// The last record of a complete snapshot.
     SnapshotEnd {
-        /// How many records stand before it.
+        /// Number of records before it in the snapshot.
         count: u64,
     },
-    /// The process ended in order: nothing follows.
+    /// The process was shut down cleanly: no record of it follows.
     Closed {
-        /// The time.
+        /// Time of the shutdown, in ticks of 100 µs; all writes acknowledged up to it precede this record.
         at: i64,
     },
-    /// A replicated record, as it is now.
+    /// The current value of a replicated record, which replaces an earlier one with the same key.
     Replicated {
-        /// The hash of its key.
+        /// Hash of the record's key.
         key: u64,
-        /// The last time that it speaks of.
+        /// The latest time in the record, from which its age counts, in ticks of 100 µs; `i64::MAX` if it never
+        /// expires.
         last_touched: i64,
-        /// The encoded record.
+        /// The encoded record, opaque to the log.
         value: Vec<u8>,
     },
 }
 
-/// The longest body of a record that is not replicated, in bytes.
+/// The longest body of a record other than [`LogRecord::Replicated`], in bytes: its length field has one byte.
 pub const MAX_BODY_LEN: usize = 255;
 /// The longest body of a replicated record, in bytes: a list of 1,024 names of 64 bytes takes 66 KiB.
 pub const MAX_REPLICATED_LEN: usize = 1 << 17;
 
 const HEADER_LEN: usize = 2;
-/// A replicated record has a length of four bytes.
+/// The length field of a replicated record has four bytes.
 const REPLICATED_HEADER_LEN: usize = 5;
 const CHECKSUM_LEN: usize = 4;
-/// The bytes of a primary's body before its server's name.
+/// Bytes of a primary's body before the server's name.
 const PRIMARY_PREFIX_LEN: usize = 10;
-/// The bytes of a replicated record's body before its value.
+/// Bytes of a replicated record's body before its value.
 const REPLICATED_PREFIX_LEN: usize = 16;
 
 mod kind {
@@ -70,18 +71,20 @@
     pub(super) const REPLICATED: u8 = 6;
 }
 
-/// What stands at the begin of some bytes.
+/// What the first bytes of a buffer decode to.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedFrame {
-    /// A record, and how many bytes it takes.
+    /// A record, and the length of its frame in bytes.
     Record(LogRecord, usize),
-    /// Nothing more.
+    /// The buffer is empty.
     End,
-    /// Something that was not written entirely, or has changed since.
+    /// An incomplete or corrupt frame, or one of another file.
     Torn,
 }
 
-/// Appends the frame of a record of that file; a server's name is cut to what a body holds.
+/// Appends the frame of a record to `out`, for the file with the number `file`.
+///
+/// A server's name is truncated to what fits into a body of [`MAX_BODY_LEN`].
 pub fn encode(out: &mut Vec<u8>, file: u64, record: &LogRecord) {
     let (kind, body) = encode_body(record);
     let start = out.len();
@@ -107,8 +110,8 @@
             server,
             observed_at,
         } => {
-            let longest = server.floor_char_boundary(MAX_BODY_LEN - PRIMARY_PREFIX_LEN);
-            let name = &server.as_bytes()[..longest];
+            let name_len = server.floor_char_boundary(MAX_BODY_LEN - PRIMARY_PREFIX_LEN);
+            let name = &server.as_bytes()[..name_len];
             let prefix = (replica_set.to_be_bytes(), observed_at.to_be_bytes());
             (kind::PRIMARY, [&prefix.0[..], &prefix.1, name].concat())
         }
@@ -133,7 +136,7 @@
     checksum.finalize().to_be_bytes()
 }
 
-/// Reads the record at the begin of some bytes of that file.
+/// Decodes the record at the start of `bytes`, which are from the file with the number `file`.
 #[must_use]
 pub fn decode(bytes: &[u8], file: u64) -> DecodedFrame {
     if bytes.is_empty() {
--- a/crates/storage/src/recovered_log.rs
+++ b/crates/storage/src/recovered_log.rs
@@ -1,48 +1,48 @@
-//! What a log holds: the state that its records come to, as read back or as committed.
+//! The state that results from the records of a log, as recovered or as committed.
 
 use std::collections::BTreeMap;
 
 use crate::record_frame::{DecodedFrame, LogRecord, decode};
 
-/// Where a file could not be read on.
+/// The place in a file from which it could not be recovered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornRecord {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// The offset of the record, in bytes.
+    /// Offset of the first torn record, in bytes; 0 if the file could not be read at all.
     pub offset: usize,
 }
 
-/// The state that the records of a log come to.
+/// The state that results from the records of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// Replication positions by session.
+    /// Replication positions by session, those of [`ALL_SESSIONS`](crate::ALL_SESSIONS) included.
     pub positions: BTreeMap<u64, i64>,
-    /// By replica set: the primary, and when it was observed.
+    /// By replica set: the primary's name, and when it was observed.
     pub primaries: BTreeMap<u16, (String, i64)>,
-    /// Replicated records by the hashes of their keys, each with the last time that it speaks of.
+    /// Replicated records by the hashes of their keys, each with the latest time in it; see [`LogRecord::Replicated`].
     pub replicated_records: BTreeMap<u64, (i64, Vec<u8>)>,
-    /// All that was answered up to then is here; 0 where that is not known.
+    /// All writes acknowledged up to this time are included; 0 if that is not known for any time.
     pub complete_until: i64,
-    /// The log ended in order, and nothing is missing.
+    /// The log ended with a clean shutdown, and nothing is missing.
     pub closed_cleanly: bool,
-    /// Where files could not be read on.
+    /// Torn records, in the order in which the files were read.
     pub torn_records: Vec<TornRecord>,
 }
 
-/// How far a file could be read.
+/// How far a file could be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileEnd {
-    /// To the end of a snapshot, with as many records as it says.
+    /// To the end of a snapshot, whose number of records matches its last record.
     CompleteSnapshot,
-    /// To the end of the file.
+    /// To the end of the file, or to the end of a snapshot with another number of records.
     EndOfFile,
     /// To a torn record, or not at all.
     Torn,
 }
 
 impl RecoveredLog {
-    /// Takes in one record.
+    /// Applies one record.
     pub(crate) fn apply(&mut self, record: LogRecord) {
         match record {
             LogRecord::Position { session, position } => {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes in the records of a file up to the first torn one.
+    /// Applies the records of a file up to the first torn one.
     pub(crate) fn apply_file(&mut self, bytes: &[u8], file: &str, number: u64) -> FileEnd {
         let (mut offset, mut records) = (0, 0);
         loop {
@@ -88,7 +88,7 @@
                     };
                 }
                 DecodedFrame::Record(record, len) => {
-                    // What follows an end in order was written by a process that did not end so.
+                    // A record after a clean shutdown was written by a later process that has not shut down cleanly.
                     self.closed_cleanly = false;
                     self.apply(record);
                     offset += len;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Notes where a file could not be read on.
+    /// Records the place from which a file could not be recovered.
     pub(crate) fn push_torn(&mut self, file: &str, offset: usize) {
         self.torn_records.push(TornRecord {
             file: file.to_owned(),
@@ -111,7 +111,8 @@
         });
     }
 
-    /// Drops what a snapshot does not carry: positions and records that were not touched within `retention`.
+    /// Drops the positions and replicated records that a snapshot leaves out: those more than `retention` (ticks of
+    /// 100 µs) older than the newest of their kind that can expire.
     pub(crate) fn drop_expired(&mut self, retention: i64) {
         let newest = self.positions.values().copied().max().unwrap_or(0);
         let oldest = newest - retention;
@@ -122,7 +123,7 @@
         self.replicated_records.retain(|_, (at, _)| *at >= oldest);
     }
 
-    /// The records of a snapshot of this state, without its end.
+    /// The records of a snapshot of this state, without [`LogRecord::SnapshotEnd`].
     pub(crate) fn to_records(&self) -> impl Iterator<Item = LogRecord> {
         let positions = self.positions.iter();
         let positions = positions.map(|(session, position)| LogRecord::Position {
--- a/crates/storage/src/segmented_log.rs
+++ b/crates/storage/src/segmented_log.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariants
 //!
-//! No position is read back that is higher than what was committed. Nothing behind a torn record of a file is believed.
+//! No recovered position is higher than the committed one. Nothing behind a torn record of a file is recovered.
 
 use std::io;
 
@@ -13,11 +13,12 @@
 /// Bounds of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogLimits {
-    /// A segment that is longer, in bytes, is closed; then a snapshot takes the place of all before.
+    /// Size in bytes above which a segment is closed and a snapshot replaces it and all files before it.
     pub segment_bytes: usize,
-    /// Positions held at most; the lowest go first.
+    /// Most positions held; the lowest are evicted first.
     pub max_positions: usize,
-    /// Positions older than this, in ticks of 100 µs, are not carried into a snapshot: every replica has them.
+    /// Positions and replicated records that are older than this, in ticks of 100 µs, than the newest are left out of
+    /// snapshots: every replica has caught up with such positions.
     pub position_retention: i64,
 }
 
@@ -31,39 +32,40 @@
     }
 }
 
-/// The number of no session: its position is one that every session may have written.
+/// Reserved number that no session has. Any session may have written up to the position stored under it, which replaces
+/// evicted positions.
 pub const ALL_SESSIONS: u64 = 0;
 
 const LOG_PREFIX: &str = "log-";
 const SNAPSHOT_PREFIX: &str = "snap-";
-/// A snapshot that is being written.
+/// Name of a snapshot while it is being written.
 const NEXT_SNAPSHOT: &str = "next";
-/// The digits of a file's number, in hexadecimal.
+/// Hexadecimal digits of a file number in a file name.
 const NUMBER_DIGITS: usize = 16;
-/// The part of the positions that is evicted at once where there are too many.
+/// One in this many positions is evicted at once when there are too many.
 const EVICTED_FRACTION: usize = 10;
-/// What a position takes in a file, in bytes.
+/// Length of the frame of a position, in bytes.
 const POSITION_FRAME_LEN: usize = 22;
 
-/// A log on a disk.
+/// A log on a disk, with the state that results from its records.
 pub struct SegmentedLog<D: Disk> {
     disk: D,
     limits: LogLimits,
     state: RecoveredLog,
-    /// The segment that is appended to.
+    /// Number of the segment that is appended to.
     segment: u64,
     segment_len: usize,
     last_snapshot_len: usize,
-    /// A write has failed: what is on the disk ends before it, and nothing follows.
+    /// Set once a write has failed: the disk may have a part of it, so nothing is written after it.
     failed: bool,
 }
 
 impl<D: Disk> SegmentedLog<D> {
-    /// Recovers what is there and begins a segment of its own: what another process left is never appended to.
+    /// Recovers the log and starts a new segment. Segments of an earlier process are never appended to.
     ///
     /// # Errors
     ///
-    /// Fails where the disk can't be listed or written.
+    /// The disk can't be listed or written. A file that can't be read is reported as torn instead.
     pub fn open(mut disk: D, limits: LogLimits) -> io::Result<(SegmentedLog<D>, RecoveredLog)> {
         let names = disk.list()?;
         let snapshots = file_numbers(&names, SNAPSHOT_PREFIX);
@@ -88,19 +90,19 @@
             last_snapshot_len: 0,
             failed: false,
         };
-        // A snapshot of what was read takes the place of files that can't be read on.
+        // A snapshot of the recovered state replaces the old files, torn ones included.
         log.compact()?;
         Ok((log, recovered))
     }
 
-    /// Appends and syncs records; a crash loses none of them after this.
+    /// Appends and syncs records. A crash after that loses none of them.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does, and from then on.
+    /// The disk has failed, now or in an earlier commit.
     pub fn commit(&mut self, records: &[LogRecord]) -> io::Result<()> {
         if self.failed {
-            return Err(io::Error::other("an earlier write has failed"));
+            return Err(io::Error::other("an earlier write to the log has failed"));
         }
         let mut bytes = Vec::with_capacity(records.len() * POSITION_FRAME_LEN);
         for record in records {
@@ -112,7 +114,7 @@
             .append(&file, &bytes)
             .and_then(|()| self.disk.sync(&file));
         if let Err(error) = written {
-            // What was appended may stand there in part: nothing goes behind it.
+            // The append may have been written in part; a record after it could not be recovered.
             self.failed = true;
             return Err(error);
         }
@@ -123,14 +125,14 @@
         while self.state.positions.len() > self.limits.max_positions {
             self.evict_lowest_positions();
         }
-        // A snapshot is no longer than what was written since the last one.
+        // Also longer than the last snapshot: a snapshot then takes no more bytes than the records written since.
         if self.segment_len > self.limits.segment_bytes.max(self.last_snapshot_len) {
             self.compact()?;
         }
         Ok(())
     }
 
-    /// Evicts a tenth of the positions; any session may have written what they stood for.
+    /// Evicts the lowest tenth of the positions, and raises that of [`ALL_SESSIONS`] to the highest one evicted.
     fn evict_lowest_positions(&mut self) {
         let mut positions: Vec<i64> = self.state.positions.values().copied().collect();
         let evicted = positions.len() / EVICTED_FRACTION;
@@ -145,7 +147,9 @@
         });
     }
 
-    /// Writes a snapshot of all that is held and begins a segment; what it replaces is removed once its name is on disk.
+    /// Writes a snapshot of the state and starts a new segment.
+    ///
+    /// The files that the snapshot replaces are removed once it has its final name on disk.
     fn compact(&mut self) -> io::Result<()> {
         let number = self.segment + 1;
         self.state.drop_expired(self.limits.position_retention);
@@ -166,7 +170,7 @@
             let old =
                 file_number(&name, LOG_PREFIX).or_else(|| file_number(&name, SNAPSHOT_PREFIX));
             if old.is_some_and(|old| old < number) {
-                // A file that stays is read again and adds nothing.
+                // A file that can't be removed does not change what is recovered.
                 let _ = self.disk.remove(&name);
             }
         }
@@ -183,15 +187,15 @@
         self.disk.rename(NEXT_SNAPSHOT, &name)
     }
 
-    /// Gives the disk back.
+    /// Returns the disk, without writing to it.
     pub fn into_disk(self) -> D {
         self.disk
     }
 }
 
-/// The state of the newest complete snapshot and its number; nothing and 0 where there is none.
+/// The state and number of the newest complete snapshot; an empty state and 0 if there is none.
 ///
-/// A snapshot gets its name after it was synced: one that is not complete was damaged by the disk.
+/// A snapshot is renamed to its final name only after it has been synced, so an incomplete one was damaged by the disk.
 fn read_newest_snapshot<D: Disk>(disk: &mut D, snapshots: &[u64]) -> (RecoveredLog, u64) {
     let mut torn_records = Vec::new();
     for number in snapshots.iter().rev() {
@@ -212,16 +216,16 @@
     (recovered, 0)
 }
 
-/// Applies the segments from a snapshot on; whether none is missing or torn.
+/// Applies the segments that follow a snapshot, and returns whether none of them is missing or torn.
 ///
-/// What is complete up to a time needs all segments before it.
+/// A segment raises [`RecoveredLog::complete_until`] only if no segment before it is missing or torn.
 fn replay_segments<D: Disk>(
     disk: &mut D,
     recovered: &mut RecoveredLog,
     segments: &[u64],
     snapshot: u64,
 ) -> bool {
-    // Each segment begins with a snapshot of its number: without one nothing is complete up to any time.
+    // Each segment follows a snapshot of the same number; without that, the log is not complete up to any time.
     let mut complete = recovered.torn_records.is_empty() && snapshot > 0;
     let mut next = snapshot;
     for number in segments.iter().filter(|number| **number >= snapshot) {
@@ -251,7 +255,7 @@
     FileEnd::Torn
 }
 
-/// The numbers of the files with a prefix, in order.
+/// The numbers of the files with this name prefix, in ascending order.
 fn file_numbers(names: &[String], prefix: &str) -> Vec<u64> {
     let numbers = names.iter().filter_map(|name| file_number(name, prefix));
     let mut numbers: Vec<u64> = numbers.collect();
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,30 +1,32 @@
-//! One value that is replaced as a whole: a reader finds the newest that was synced, or none.
+//! A single value that is replaced as a whole: a reader finds the newest one that was synced, or none.
+//!
+//! It has nothing to do with the snapshots of a [`SegmentedLog`](crate::SegmentedLog).
 
 use std::io;
 
 use crate::disk::Disk;
 
 const FILE: &str = "note";
-/// The file in which the next value is written before it takes the place of the last.
+/// The file to which a new value is written before it replaces [`FILE`].
 const NEXT_FILE: &str = "note.new";
 const CHECKSUM_LEN: usize = 4;
 
-/// What a disk has of the value.
+/// The result of reading the value.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SnapshotRead {
-    /// The value.
+    /// The value, with a matching checksum.
     Complete(Vec<u8>),
-    /// No value was written, or it is gone with its directory.
+    /// There is no file: no value was ever written, or its directory is lost.
     Missing,
-    /// Something that is not what was written.
+    /// The file is too short or its checksum does not match.
     Corrupt,
 }
 
-/// Replaces the value, entirely or not at all.
+/// Replaces the value atomically, and returns once the new one is durable.
 ///
 /// # Errors
 ///
-/// Fails where the disk does; the value before stays.
+/// The disk has failed; the previous value remains.
 pub fn write(disk: &mut impl Disk, value: &[u8]) -> io::Result<()> {
     match disk.remove(NEXT_FILE) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -36,11 +38,11 @@
     disk.rename(NEXT_FILE, FILE)
 }
 
-/// Reads the value back.
+/// Reads the newest value that was written.
 ///
 /// # Errors
 ///
-/// Fails where the disk can't be read.
+/// The disk can't be read. A missing or corrupt file is no error.
 pub fn read(disk: &mut impl Disk) -> io::Result<SnapshotRead> {
     let bytes = match disk.read(FILE) {
         Ok(bytes) => bytes,
