--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -189,7 +189,7 @@
     let began = Instant::now();
     let answer = client.ask(&insert("order"));
     assert!(answer.starts_with("E C53300"), "{answer}");
-    gateway.logged("the list is too old to send by");
+    gateway.logged("endpoint list lease expired");
     assert!(
         began.elapsed() < Duration::from_millis(500),
         "what is given up is answered at once"
@@ -201,6 +201,6 @@
     assert_eq!(counted(&state, "list_ends_in_ms"), Some("0"), "{state}");
     discovery.refuse_all(false);
     gateway.logged("discovery answers again");
-    gateway.logged("the list holds again");
+    gateway.logged("endpoint list lease renewed");
     assert_eq!(client.ask(&insert("order")), "T D one C Z");
 }
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -71,9 +71,9 @@
         let expired = self.lease.is_expired(now);
         if std::mem::replace(&mut self.expired, expired) != expired {
             let message = if expired {
-                "the list is too old to send by, discovery refuses a newer one"
+                "endpoint list lease expired: discovery refuses a newer list, no new attempts"
             } else {
-                "the list holds again"
+                "endpoint list lease renewed"
             };
             actions.push(Action::Log(message.into()));
         }
