--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,33 +1,33 @@
 //! Admission: whether a server has capacity for a request, and in which order requests are served.
 //!
-//! A request goes to a server only while an answer there is likely well within its latency
-//! objective. What finds no capacity waits in the gateway and is tried again in the order of its
-//! priority.
+//! A request is sent to a server only if an answer there is likely well within its latency
+//! objective. Requests that find no capacity wait in the gateway and are tried again in the order
+//! of their priority.
 
 use crate::api::Ticks;
 use crate::cluster_state::ClusterState;
 use crate::request_queue::RequestQueue;
 use crate::request_state::{Phase, RequestState};
 
-/// Part of the time left that an answer may be expected to take. With all of it, queues grow until
-/// every answer is just late.
+/// Share of the time left that the expected latency of an answer may take. With a share of 1 queues
+/// would grow until every answer is just late.
 const MAX_OBJECTIVE_SHARE: f64 = 0.6;
-/// What the part shrinks by in a full shortage, for the request of the least priority.
+/// Reduction of that share in a full shortage, for a request of priority 0.
 const SHORTAGE_REDUCTION: f64 = 0.3;
-/// Line by which the priority of a client's retry follows from that of a first request; in a full
-/// shortage it leaves less than a tenth of the objective, so storms of retries leave capacity to
-/// first requests.
+/// Linear function from the priority of a first request to that of a client retry. In a full
+/// shortage it leaves less than a tenth of the objective to a retry of the least priority, so retry
+/// storms leave capacity to first requests.
 const CLIENT_RETRY_SCALE: f64 = 0.3;
 const CLIENT_RETRY_OFFSET: f64 = 0.7;
 
 /// Whether a server has capacity for a request.
 ///
-/// A wrong measurement keeps a sound server idle until it has faded, which takes seconds.
+/// A wrong measurement keeps a healthy server idle until it has decayed, which takes seconds.
 pub(crate) fn has_capacity(cluster: &ClusterState, request: &RequestState, server: usize) -> bool {
     let class = &cluster.classes[request.class];
     let objective = class.config.latency_objective;
     let objective_left = request.timing.objective_left(objective, cluster.now);
-    // Past its objective a request gets as much of it as a late answer is still worth.
+    // Past its objective a request is allowed the fraction of it that a late answer still earns.
     let available = if objective_left > 0 {
         objective_left as f64
     } else {
--- a/crates/routing/src/api.rs
+++ b/crates/routing/src/api.rs
@@ -1,8 +1,8 @@
-//! Types that go into the router and come out of it, whatever protocol stands before it.
+//! Input and output types of the router, independent of the protocol in front of it.
 //!
 //! Times are [`Ticks`] on the gateway's clock, replication positions are times on the same clock.
-//! Identifiers are small indices given out by the caller, which may reuse a request's index once
-//! the request is finished and all of its attempts have ended.
+//! Identifiers are small indices assigned by the caller, which may reuse a request's index once the
+//! request is finished and all of its attempts have ended.
 
 mod config;
 
@@ -11,13 +11,13 @@
     ReplicaCheck, RequestClass, RoutingConfig, ServerProtection, Tenant,
 };
 
-/// A time or a span in ticks of 100 µs.
+/// A point in time or a duration, in ticks of 100 µs.
 pub type Ticks = i64;
 
 /// A millisecond, in ticks.
 pub const MILLISECOND: Ticks = 10;
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     /// Index of the server.
@@ -26,54 +26,54 @@
     pub set: usize,
     /// Index of its zone.
     pub zone: usize,
-    /// Whether it may be used.
+    /// Whether it may get attempts.
     pub state: EndpointState,
     /// Whether the list names it the primary of its set.
     pub primary: bool,
-    /// Its relative capacity.
+    /// Its capacity, relative to a server of size 1.
     pub size: f64,
-    /// When it last started; 0 when long ago.
+    /// When it last started; 0 if that was long ago.
     pub started_at: Ticks,
 }
 
-/// Whether a listed server may be used.
+/// State of a server according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It is to get nothing new.
+    /// It must get no new attempts.
     Draining,
     /// It is not listed.
     #[default]
     Gone,
 }
 
-/// What an update says of the endpoint list.
+/// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed lines only.
+    /// Only the entries that changed.
     Changes,
-    /// The full list; a server that is not on it is gone.
+    /// The full list; a server that is missing from it is gone.
     Full,
     /// The full list as last held before a restart.
     Restored,
-    /// A poll has failed; the list stands as it was.
+    /// A poll has failed; the list is unchanged.
     Failed,
 }
 
-/// What a call to discovery has shown.
+/// Result of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryOutcome {
-    /// It gave the list, or confirmed that nothing has changed.
+    /// It returned the list, or confirmed that nothing has changed.
     Confirmed,
-    /// It could be reached and refused.
+    /// It was reached and refused the call.
     Refused,
-    /// It could not be reached during a call that began `ago`.
+    /// It could not be reached during a call that began `ago` ticks before the event.
     Unreachable {
         /// Time since the call began.
         ago: Ticks,
     },
-    /// It is called at another address from now on.
+    /// Its address has changed, and later calls go to the new one.
     Moved,
 }
 
@@ -92,15 +92,16 @@
     pub session: Option<usize>,
     /// Client deadline: when the client stops waiting, rounded down.
     pub deadline: Ticks,
-    /// Position that the session must see, beside what the router remembers.
+    /// Replication position that the answer must cover, beside the one that the router remembers
+    /// for the session.
     pub required_position: Option<Ticks>,
-    /// Before this a read with a required position waits for a replica that is about to reach it,
-    /// and goes to no primary.
+    /// Until this time a read with a required position waits for a replica that is about to reach
+    /// it, and does not overflow to the primary.
     pub wait_for_replica_until: Ticks,
-    /// The client says that this is a retry of its own.
+    /// Whether the client marked the request as a retry of an earlier one.
     pub client_retry: bool,
-    /// When another gateway has sent a request with the same idempotency key that may have
-    /// executed.
+    /// When another gateway started an attempt with the same idempotency key that may have
+    /// executed, if one did.
     pub first_attempt_elsewhere: Option<Ticks>,
 }
 
@@ -115,27 +116,27 @@
     Overloaded,
     /// No answer within the attempt's timeout.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     NotConnected,
     /// The connection broke before the answer was complete.
     Reset,
     /// Cancelled by the gateway.
     Cancelled,
-    /// Never sent.
+    /// Not sent to the server.
     NotSent,
     /// Rejected before execution: the server is too far behind, or not the primary.
     NotCaughtUp,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt surely did not execute.
+    /// Whether the attempt certainly did not execute.
     pub fn never_executed(self) -> bool {
         use AttemptOutcome::*;
         matches!(self, Overloaded | NotConnected | NotSent | NotCaughtUp)
     }
 }
 
-/// What an answer reports of the server that gave it.
+/// What a server reports about itself with an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerReport {
     /// Whether it is the primary of its set.
@@ -144,12 +145,12 @@
     pub position: Option<Ticks>,
 }
 
-/// Announcement that a server said at this time that it is the primary of its set.
+/// Announcement that a server has reported to be the primary of its set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryAnnouncement {
     /// Index of the server.
     pub server: usize,
-    /// When it said so.
+    /// When it reported that.
     pub at: Ticks,
 }
 
@@ -164,25 +165,25 @@
     pub server: usize,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Time from its start to its end.
+    /// Time from the start of the attempt to its end.
     pub elapsed: Ticks,
-    /// The request is finished, by this answer or earlier.
+    /// Whether the request is finished, by this answer or earlier.
     pub request_finished: bool,
-    /// What the server reported of itself.
+    /// What the server reported about itself.
     pub report: Option<ServerReport>,
 }
 
 /// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The endpoint list has changed.
+    /// An update of the endpoint list, with the entries that it contains.
     Endpoints(EndpointUpdate, &'a [Endpoint]),
-    /// A call to discovery has ended, where the caller follows discovery by itself.
+    /// A call to discovery has ended, where the caller schedules these calls itself.
     Discovery(DiscoveryOutcome),
     /// A request has arrived.
     RequestArrived(Request),
-    /// The client of this request has the row of its write; the end of the attempt, with the server's
-    /// report, follows.
+    /// The client of this request has received the result row of its write;
+    /// [`Event::AttemptFinished`], with the server's report, follows.
     WriteAnswered(usize),
     /// An attempt has ended.
     AttemptFinished(FinishedAttempt),
@@ -196,19 +197,20 @@
         server: usize,
         /// Whether it answered.
         ok: bool,
-        /// What it reported of itself.
+        /// What it reported about itself.
         report: Option<ServerReport>,
     },
-    /// Announcements of primaries from another gateway.
+    /// Another gateway has announced primaries.
     PrimariesAnnounced(&'a [PrimaryAnnouncement]),
-    /// The gateway shuts down: all requests are ended at this time.
+    /// The gateway shuts down, and ends all requests at this time.
     ShutdownScheduled(Ticks),
 }
 
-/// An output of the router, to be carried out by its caller.
+/// An output of the router, which its caller executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; not after `start_by`, when what allows it is over.
+    /// Start an attempt, unless `start_by` has passed: the deadline or the deduplication window
+    /// that permits the attempt is then over.
     StartAttempt {
         /// Index of the request.
         request: usize,
@@ -226,14 +228,15 @@
         /// Which attempt of the request.
         attempt: u32,
     },
-    /// Final: shed the request, a client retry is harmless; a `retry_after` of 0 gives no advice.
+    /// Final answer: shed the request. A retry by the client has no second effect; with a
+    /// `retry_after` of 0 the client is told no time to retry after.
     Shed {
         /// Index of the request.
         request: usize,
         /// Time after which the client is to retry.
         retry_after: Ticks,
     },
-    /// Final: fail the request, nothing is known of its effect.
+    /// Final answer: fail the request, of which it is unknown whether it had an effect.
     Fail {
         /// Index of the request.
         request: usize,
@@ -256,9 +259,9 @@
     PollEndpoints,
     /// Start or stop watching the endpoint list.
     WatchEndpoints(bool),
-    /// The session's index may be given out again.
+    /// The session's index may be reused: the router remembers no position of the session.
     ReleaseSession(usize),
-    /// The server's index may be given out again: it is gone and has no attempt under way.
+    /// The server's index may be reused: the server is gone and has no attempt in flight.
     ReleaseServer(usize),
     /// Write a line to the log.
     Log(String),
--- a/crates/routing/src/api/config.rs
+++ b/crates/routing/src/api/config.rs
@@ -13,7 +13,7 @@
     pub gateways: usize,
     /// Zone of this gateway.
     pub zone: usize,
-    /// Interval at which the caller hands over what has come in.
+    /// Interval at which the caller passes collected input to the router.
     pub batch_interval: Ticks,
     /// Request classes, by index.
     pub classes: Vec<RequestClass>,
@@ -21,7 +21,7 @@
     pub tenants: Vec<Tenant>,
     /// Factor on the priority weight of a request over its tenant's quota.
     pub over_quota_weight: f64,
-    /// What a replica does with a read that it is too far behind for.
+    /// What a replica does with a read whose required position it has not reached.
     pub replica_check: ReplicaCheck,
     /// Who remembers the position that a session must see.
     pub position_keeper: PositionKeeper,
@@ -40,37 +40,37 @@
 pub struct RequestClass {
     /// How recent the data must be.
     pub consistency: Consistency,
-    /// What running a request twice would do.
+    /// Effect of running a request twice.
     pub idempotency: Idempotency,
     /// Latency objective: answers within this time of the arrival earn the full priority weight.
     pub latency_objective: Ticks,
-    /// Longest time that a client waits.
+    /// Longest time that a client waits for the answer.
     pub timeout: Ticks,
     /// Priority weight of an answer in time.
     pub priority_weight: f64,
-    /// Part of the priority weight that an answer past the latency objective earns.
+    /// Fraction of the priority weight that an answer past the latency objective earns.
     pub late_factor: f64,
 }
 
-/// How recent the data must be that a request is answered from.
+/// How recent the data behind an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any member will do.
+    /// Data of any age, from any member.
     Any,
     /// Data no older than this when the attempt starts.
     Bounded(Ticks),
-    /// All that the session has written.
+    /// Data with all writes of the session.
     Session,
-    /// All that was written before the request came in.
+    /// Data with all writes that were made before the request arrived.
     Fresh,
-    /// A write: only the primary takes it.
+    /// A write, which only the primary accepts.
     Write,
 }
 
-/// What running a request twice would do.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing more than running it once.
+    /// The same effect as running it once.
     Idempotent,
     /// Duplicates are dropped for `window` after the first attempt that may have executed.
     IdempotentByKey {
@@ -97,20 +97,20 @@
 /// A tenant's quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within the quota, all gateways together.
+    /// Requests per second within the quota, all gateways together.
     pub requests_per_second: f64,
     /// Share of all requests that the quota stands for.
     pub quota_share: f64,
 }
 
-/// What a server does with a read for which it is too far behind.
+/// What a replica does with a read whose required position it has not reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaCheck {
-    /// It answers from what it has.
+    /// It answers from the data that it has.
     None,
     /// It rejects the read.
     Reject,
-    /// It holds the read for this long and rejects it then.
+    /// It holds the read back for up to this long, then rejects it.
     Hold(Ticks),
 }
 
@@ -126,11 +126,11 @@
 /// How the endpoint list reaches the gateway and what it says of primaries.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointListConfig {
-    /// Lists are pushed through an agent rather than polled from a shared discovery.
+    /// Whether lists are pushed through an agent rather than polled from a shared discovery.
     pub pushed: bool,
-    /// The list names primaries.
+    /// Whether the list names primaries.
     pub names_primary: bool,
-    /// Where the list must be polled, the longest time between two polls.
+    /// Longest time between two polls, where the list is polled.
     pub poll_interval: Ticks,
 }
 
@@ -139,7 +139,7 @@
 pub struct Permissions {
     /// Most attempts of one request.
     pub max_attempts: u32,
-    /// Hedged requests: a second attempt while the first is under way.
+    /// Hedged requests: a second attempt while the first is in flight.
     pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
@@ -149,7 +149,7 @@
     pub gossip: bool,
     /// Shed requests may carry a time after which to retry.
     pub retry_after: bool,
-    /// Longest such time.
+    /// Longest time after which a shed request is to be retried.
     pub max_retry_after: Ticks,
 }
 
@@ -160,11 +160,11 @@
     pub drain_grace: Ticks,
     /// Only a server listed as draining is excluded; one that is merely gone from the list is not.
     pub only_draining_excludes: bool,
-    /// Part of its capacity that a server has when it has just started.
+    /// Fraction of its capacity that a server has when it has just started.
     pub slow_start_capacity: f64,
     /// How long a server warms up.
     pub slow_start_window: Ticks,
-    /// Multiple of its capacity that overloads a warming server.
+    /// Multiple of its current capacity that overloads a warming server.
     pub overload_multiple: f64,
     /// How long such an overload may last.
     pub overload_window: Ticks,
--- a/crates/routing/src/cluster_state.rs
+++ b/crates/routing/src/cluster_state.rs
@@ -11,11 +11,11 @@
 
 const THROUGHPUT_DECAY_INTERVAL: Ticks = 1000 * MILLISECOND;
 const SET_DECAY_INTERVAL: Ticks = 2500 * MILLISECOND;
-/// A quarter of the shortest interval at which servers decay, so not every event visits all
-/// servers.
+/// Interval at which servers and sets are checked for decay, so not every event visits all of them;
+/// a quarter of the shortest interval at which servers decay.
 const DECAY_CHECK_INTERVAL: Ticks = 125 * MILLISECOND;
 
-/// State that the decisions are made from.
+/// State on which the routing decisions are based.
 pub(crate) struct ClusterState {
     pub(crate) config: RoutingConfig,
     pub(crate) now: Ticks,
@@ -32,7 +32,7 @@
     decay_checked_at: Ticks,
 }
 
-/// A server.
+/// State of a server, by the endpoint list, its reports and its attempts.
 #[derive(Default)]
 pub(crate) struct Server {
     pub(crate) endpoint: ServerEndpoint,
@@ -43,10 +43,10 @@
     pub(crate) warmup: WarmupBudget,
 }
 
-/// What the endpoint list says of a server.
+/// State of a server according to the endpoint list.
 #[derive(Default)]
 pub(crate) struct ServerEndpoint {
-    /// Whether the server has been listed since its index was given out.
+    /// Whether the server has been listed since its index was assigned.
     pub(crate) known: bool,
     pub(crate) set: usize,
     pub(crate) zone: usize,
@@ -57,7 +57,7 @@
     pub(crate) listed_primary: bool,
 }
 
-/// A replica set.
+/// Members of a replica set, its primary, and the latencies of its servers by role.
 #[derive(Default)]
 pub(crate) struct ReplicaSet {
     pub(crate) members: Vec<usize>,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The replica set of this index, new if it is not known yet.
+    /// Returns the replica set with this index, and adds it if it is not known yet.
     pub(crate) fn set_mut(&mut self, set: usize) -> &mut ReplicaSet {
         if self.sets.len() <= set {
             self.sets.resize_with(set + 1, ReplicaSet::default);
@@ -129,7 +129,7 @@
         &mut self.sets[set]
     }
 
-    /// The server, if the endpoint list lets it get attempts.
+    /// Returns the server if the endpoint list allows attempts to it.
     pub(crate) fn usable(&self, server: usize) -> Option<&Server> {
         let state = &self.servers[server];
         let endpoint = &state.endpoint;
@@ -139,12 +139,12 @@
         (endpoint.state == EndpointState::Ready || unlisted_allowed).then_some(state)
     }
 
-    /// The set that a server belongs to.
+    /// The replica set that a server belongs to.
     pub(crate) fn set_of(&self, server: usize) -> &ReplicaSet {
         &self.sets[self.servers[server].endpoint.set]
     }
 
-    /// Part of its capacity that a server has while it warms up; `None` once it is warm.
+    /// Fraction of its capacity that a server has while it warms up; `None` once it is warm.
     pub(crate) fn warming_capacity(&self, server: &Server) -> Option<f64> {
         warming_capacity(
             &self.config.protection,
@@ -184,13 +184,13 @@
         )
     }
 
-    /// The retry policy of a request class.
+    /// Retry policy that follows from the idempotency of a request class.
     pub(crate) fn retry_policy(&self, class: usize) -> RetryPolicy {
         let idempotency = self.classes[class].config.idempotency;
         RetryPolicy::new(idempotency, self.config.batch_interval)
     }
 
-    /// How long a replica holds a read that it is too far behind for.
+    /// How long a replica holds back a read whose required position it has not reached.
     pub(crate) fn replica_hold(&self) -> Ticks {
         match self.config.replica_check {
             ReplicaCheck::Hold(hold) => hold,
@@ -198,18 +198,18 @@
         }
     }
 
-    /// Interval at which waiting requests are tried again; far below any latency objective, and
-    /// cheap.
+    /// Interval at which waiting requests are tried again: far below any latency objective, and
+    /// long enough to cost little.
     pub(crate) fn retry_interval(&self) -> Ticks {
         self.config.batch_interval.max(10 * MILLISECOND)
     }
 
-    /// Whether the throughput has decayed at this very time, as it does once a second.
+    /// Whether the throughput decayed at the current time, as it does once a second.
     pub(crate) fn has_just_decayed(&self) -> bool {
         self.throughput_decayed_at == self.now
     }
 
-    /// Whether the throughput is due to decay; if so it counts as decayed.
+    /// Returns whether the throughput is due to decay, and if so records that it has decayed now.
     pub(crate) fn take_throughput_decay(&mut self) -> bool {
         let due = self.now - self.throughput_decayed_at >= THROUGHPUT_DECAY_INTERVAL;
         if due {
@@ -218,14 +218,14 @@
         due
     }
 
-    /// Lets the throughput and the shares of late attempts fade.
+    /// Decays the throughput and the shares of late attempts.
     pub(crate) fn decay_throughput(&mut self) {
         self.warm_throughput.decay();
         self.recent_outcomes.decay();
         self.refresh_totals();
     }
 
-    /// Lets the measurements of servers and sets fade where that is due.
+    /// Decays the measurements of those servers and sets whose interval has passed.
     pub(crate) fn decay_measurements(&mut self) {
         let now = self.now;
         if now - self.decay_checked_at < DECAY_CHECK_INTERVAL {
--- a/crates/routing/src/endpoint_lease.rs
+++ b/crates/routing/src/endpoint_lease.rs
@@ -1,11 +1,11 @@
 //! Lease of the endpoint list: how long the list may be used while discovery can be reached and
 //! refuses a newer one.
 //!
-//! A change of the list counts as delivered 6 s after discovery had it, whatever became of the
-//! polls, and after the grace of a drain nothing may be sent to a server that drains. A gateway
-//! without a newer list cannot know which server that is, so it then sends nothing until it has
-//! one. While discovery is unreachable nothing counts as delivered, and the list stays valid. Where
-//! lists are pushed there is no lease, as the agent refuses nobody.
+//! A change of the list counts as delivered 6 s after discovery had it, whether or not a poll has
+//! returned it, and after the drain grace nothing may be sent to a draining server. A gateway
+//! without a newer list cannot know which servers are draining, so it then sends nothing until it
+//! has one. While discovery is unreachable nothing counts as delivered, and the list stays valid.
+//! Where lists are pushed there is no lease, as an agent refuses no calls.
 //!
 //! No I/O and no clock: times are ticks of 100 µs.
 
@@ -13,8 +13,8 @@
 
 /// Time after which a change counts as delivered, from when discovery had it and could be reached.
 const DELIVERED_AFTER: Ticks = 6_000 * MILLISECOND;
-/// Time after which what discovery has counts as delivered, from when the configuration named
-/// another address.
+/// Time after which the changes that discovery has count as delivered, from when the configuration
+/// named another address for it.
 const DELIVERED_AFTER_MOVE: Ticks = 4_000 * MILLISECOND;
 /// Safety margin: a process may be held up for 0.15 s between reading its clock and writing, and as
 /// long again while a connection comes up.
@@ -23,7 +23,7 @@
 /// How long the endpoint list may be used.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointLease {
-    /// Grace of a drain less the safety margin; `None` where lists are pushed.
+    /// Drain grace less the safety margin; `None` where lists are pushed.
     grace: Option<Ticks>,
     /// When the list was last confirmed, or when the process started.
     confirmed_at: Option<Ticks>,
@@ -36,8 +36,8 @@
 }
 
 impl EndpointLease {
-    /// A lease for lists that are pushed or polled; `drain_grace` is how long a draining server may
-    /// get new attempts.
+    /// Creates the lease for lists that are pushed or polled; `drain_grace` is how long a draining
+    /// server may get new attempts.
     #[must_use]
     pub fn new(pushed: bool, drain_grace: Ticks) -> Self {
         EndpointLease {
@@ -67,8 +67,8 @@
         self.moved_at.get_or_insert(now);
     }
 
-    /// Records that discovery was unreachable at a time; what it had by then counts as delivered
-    /// only some time later.
+    /// Records that discovery was unreachable at a time; the changes that it had by then count as
+    /// delivered only the full delay after that time.
     pub fn on_unreachable(&mut self, at: Ticks) {
         if !self.refused {
             self.unreachable_at = self.unreachable_at.max(Some(at));
@@ -92,7 +92,7 @@
             .map(|grace| delivered_at.min(delivered_after_move_at) + grace)
     }
 
-    /// Whether the lease has expired.
+    /// Whether the lease has expired at `now`, so nothing may be sent.
     #[must_use]
     pub fn is_expired(&self, now: Ticks) -> bool {
         self.expires_at().is_some_and(|end| now >= end)
--- a/crates/routing/src/endpoint_list.rs
+++ b/crates/routing/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Takes over updates of the endpoint list, and follows how long the list may be used.
+//! Applies updates of the endpoint list, and tracks whether the list may still be used.
 
 use crate::api::{
     Action, DiscoveryOutcome, Endpoint, EndpointListConfig, EndpointState, EndpointUpdate,
@@ -11,17 +11,17 @@
 
 /// Shortest time before the list is watched again after a failure.
 const WATCH_RETRY_DELAY: Ticks = 500 * MILLISECOND;
-/// Random time beside that, so gateways that failed together do not call together.
+/// Longest random delay added to that, so gateways that failed together do not call together.
 const WATCH_RETRY_JITTER: Ticks = 1000 * MILLISECOND;
 /// How long a server that is gone is remembered after its last response.
 const GONE_RETENTION: Ticks = 30_000 * MILLISECOND;
 
-/// State of the endpoint list as a whole.
+/// Lease of the endpoint list, and the schedule of the next watch.
 pub(crate) struct EndpointListStatus {
     pushed: bool,
     watch_again_at: Option<Ticks>,
     lease: EndpointLease,
-    /// Whether the lease had expired when that was last looked at.
+    /// Whether the lease had expired at the last [`EndpointListStatus::poll`].
     expired: bool,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Takes over an update of the endpoint list.
+/// Applies an update of the endpoint list to the cluster state.
 pub(crate) fn apply(
     cluster: &mut ClusterState,
     update: EndpointUpdate,
@@ -144,8 +144,8 @@
     };
 }
 
-/// Records that a server was started anew; it warms up from a random debt of up to the mean typical
-/// latency.
+/// Records that a server has restarted. It warms up from a random debt of up to the mean typical
+/// latency of the request classes.
 fn restart(cluster: &mut ClusterState, endpoint: &Endpoint, rng: &mut fastrand::Rng) {
     let classes = &cluster.classes;
     let typical_sum: f64 = classes.iter().map(|class| class.typical() as f64).sum();
@@ -157,10 +157,10 @@
     server.warmup.restart(mean_typical * rng.f64(), cluster.now);
 }
 
-/// Takes over a primary that the endpoint list names.
+/// Records a primary that the endpoint list names.
 ///
-/// The list counts where no answer has reported the server's role, or where it newly names the
-/// server and reports are old.
+/// The list is used only where reports of the set's primary are old or missing, and only if no
+/// answer has reported the server's role or the list names the server newly.
 fn apply_listed_primary(
     cluster: &mut ClusterState,
     endpoint: &Endpoint,
@@ -182,7 +182,7 @@
     }
 }
 
-/// Forgets primaries that may get no attempts: while one is known no other member would be tried.
+/// Forgets primaries that may get no attempts, as no other member is tried while one is known.
 fn forget_unusable_primaries(cluster: &mut ClusterState) {
     for set in 0..cluster.sets.len() {
         let unusable = cluster.sets[set]
@@ -195,7 +195,7 @@
     }
 }
 
-/// Forgets servers that have been gone and silent for a while and have no attempt under way.
+/// Forgets servers that have been gone and silent for a while and have no attempt in flight.
 pub(crate) fn forget_gone_servers(cluster: &mut ClusterState, actions: &mut Vec<Action>) {
     for index in 0..cluster.servers.len() {
         let server = &cluster.servers[index];
--- a/crates/routing/src/endpoint_watch.rs
+++ b/crates/routing/src/endpoint_watch.rs
@@ -1,9 +1,9 @@
-//! Schedules the calls to discovery for the endpoint list: which to begin when, how long to wait
-//! for each, and what its answer means for the next.
+//! Schedules the calls to discovery for the endpoint list: when to begin which call, how long to
+//! wait for each, and how its answer affects the next.
 //!
-//! Where lists are pushed, an agent on the gateway's own machine answers at once and at no cost,
-//! but never answers calls that it took while it was silent: further calls then begin beside those
-//! in flight, well within the grace of a drain. Where lists are polled, discovery is one service
+//! Where lists are pushed, an agent on the gateway's own host answers at once and at no cost, but
+//! never answers calls that it received while it was silent. Further calls therefore begin beside
+//! those in flight, well within the drain grace. Where lists are polled, discovery is one service
 //! for the whole fleet, each new call waits in its queue, and a refused call costs it something as
 //! well. There one call is in flight at a time, it asks for changes since the held revision, and
 //! calls after failures back off with jitter, so gateways that failed together do not call
@@ -31,7 +31,7 @@
 /// Time within which an answer is complete, from its first bytes.
 const BODY_TIMEOUT: Ticks = 2_000 * MILLISECOND;
 /// A new call refused sooner than this was refused by discovery itself; a later refusal comes from
-/// a proxy that has waited for discovery in vain.
+/// a proxy that has waited for an answer from discovery and got none.
 const DIRECT_REFUSAL_LIMIT: Ticks = 500 * MILLISECOND;
 /// Least time between the starts of two calls if the first brought nothing newer; discovery may
 /// answer watches at once.
@@ -40,12 +40,13 @@
 const FAILURE_RUN_GAP: Ticks = 1_000 * MILLISECOND;
 /// Most calls to an agent in flight.
 const MAX_CALLS_IN_FLIGHT: usize = 3;
-/// How long a call to an agent is waited for past its wait, so the answer of a slow agent is used.
+/// Time past its wait for which a call to an agent stays open, so the answer of a slow agent is
+/// used.
 const AGENT_TIMEOUT: Ticks = 4_000 * MILLISECOND;
 /// The wait of an agent's watch, and the delay before the next call beside an unanswered one, are
-/// the grace of a drain divided by this. An agent may fall silent and return within the grace, and
-/// what it has learnt counts at once: two such delays and the time to connect and read a list stay
-/// well below the grace.
+/// the drain grace divided by this. An agent may become silent and respond again within the grace,
+/// and the changes it has received count as delivered at once: two such delays and the time to
+/// connect and read a list stay well below the grace.
 const GRACE_DIVISOR: Ticks = 4;
 const MIN_AGENT_INTERVAL: Ticks = 50 * MILLISECOND;
 const MAX_AGENT_INTERVAL: Ticks = 1_000 * MILLISECOND;
@@ -72,14 +73,14 @@
     pushed: bool,
     agent_interval: Ticks,
     rng: fastrand::Rng,
-    /// Revision of the list in use; `None` before discovery, where it is now, has given one.
+    /// Revision of the list in use; `None` until discovery at its current address has returned one.
     held_revision: Option<u64>,
     /// Whether the last answer was that of a watch, which the next call continues.
     watching: bool,
     failures: FailureRun,
     /// No call begins before this time.
     not_before: Ticks,
-    /// Oldest first.
+    /// Calls in flight, oldest first.
     in_flight: Vec<CallInFlight>,
     last_id: u64,
 }
@@ -95,19 +96,25 @@
 }
 
 impl EndpointWatch {
-    /// A schedule that begins with a call at once.
+    /// Creates a schedule that begins with a call at once.
     ///
-    /// `remembered` is the revision of a list persisted by an earlier process; `drain_grace` is how
-    /// long a server may get new attempts after the gateway learnt that it drains.
+    /// `persisted_revision` is the revision of a list persisted by an earlier process;
+    /// `drain_grace` is how long a server may get new attempts after the gateway learnt that it
+    /// drains.
     #[must_use]
-    pub fn new(pushed: bool, drain_grace: Ticks, remembered: Option<u64>, seed: u64) -> Self {
+    pub fn new(
+        pushed: bool,
+        drain_grace: Ticks,
+        persisted_revision: Option<u64>,
+        seed: u64,
+    ) -> Self {
         EndpointWatch {
             pushed,
             agent_interval: (drain_grace / GRACE_DIVISOR)
                 .clamp(MIN_AGENT_INTERVAL, MAX_AGENT_INTERVAL),
             rng: fastrand::Rng::with_seed(seed),
             // An agent gives its full list at no cost; a shared service is asked for changes.
-            held_revision: remembered.filter(|_| !pushed),
+            held_revision: persisted_revision.filter(|_| !pushed),
             watching: false,
             failures: FailureRun::default(),
             not_before: 0,
@@ -134,7 +141,7 @@
         self.not_before = 0;
     }
 
-    /// What to do now.
+    /// The caller's next step at `now`.
     pub fn next_action(&mut self, now: Ticks) -> WatchAction {
         if let Some(id) = self.abandon_timed_out(now) {
             return WatchAction::Abandon { id };
@@ -192,7 +199,7 @@
             Call::Watch { since, .. } => {
                 answer.revision >= since && Some(since) == self.held_revision
             }
-            // Changes in place of the full list say nothing of the rest.
+            // Changes in answer to a call for the full list leave the rest of the list unknown.
             Call::Full => false,
         };
         if !answer.full && !follows_held {
@@ -219,7 +226,7 @@
         AnswerUse::Use
     }
 
-    /// Records that a call ended without a list.
+    /// Records that a call ended without a list; returns what that shows of discovery.
     pub fn on_failed(&mut self, id: u64, now: Ticks, failure: Failure) -> FailureEvidence {
         let Some(index) = self.in_flight.iter().position(|call| call.id == id) else {
             return FailureEvidence::None;
@@ -228,7 +235,7 @@
         self.record_failure(now, false);
         let ago = now - call.started_at;
         match failure {
-            // An open watch may have been ended by anyone on the way.
+            // Any proxy on the path may have ended an open watch.
             Failure::Refused if call.continues_watch => FailureEvidence::None,
             Failure::Refused if ago < DIRECT_REFUSAL_LIMIT => FailureEvidence::Refused,
             Failure::Refused | Failure::Unreachable => FailureEvidence::Unreachable { ago },
@@ -259,8 +266,8 @@
         self.failures.len = self.failures.len.saturating_add(1);
         if self.pushed {
             self.held_revision = None;
-            // What an agent has counts as delivered at once, so it is called again at once after a
-            // first failure.
+            // Changes that an agent has count as delivered at once, so it is called again at once
+            // after a first failure.
             self.not_before = if starts_run {
                 now
             } else {
@@ -317,7 +324,7 @@
         call.started_at + call.call.wait() + timeout
     }
 
-    /// When an agent that works would have answered a call.
+    /// When a responsive agent would have answered a call.
     fn overdue_at(&self, call: &CallInFlight) -> Ticks {
         let due_at = if call.answer_started_at.is_some() {
             call.last_progress_at
--- a/crates/routing/src/endpoint_watch/call.rs
+++ b/crates/routing/src/endpoint_watch/call.rs
@@ -1,15 +1,15 @@
-//! Calls to discovery, how they end, and what the caller is to do.
+//! Calls to discovery, their outcomes, and the steps that the caller takes.
 
 use crate::api::Ticks;
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// For the full list.
+    /// Asks for the full list.
     Full,
-    /// For changes.
+    /// Asks for the changes since a revision.
     Watch {
-        /// The revision since which changes are called for.
+        /// Revision since which changes are asked for.
         since: u64,
         /// How long discovery waits for a change before it answers.
         wait: Ticks,
@@ -26,14 +26,14 @@
     }
 }
 
-/// What the caller is to do next.
+/// The caller's next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchAction {
     /// Begin a call.
     Begin {
         /// Identifier of the call.
         id: u64,
-        /// The call.
+        /// The request to send.
         call: Call,
     },
     /// Stop waiting for a call and close its connection.
@@ -51,29 +51,29 @@
 /// How a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The answer is a refusal.
+    /// It was answered with a refusal.
     Refused,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke, or the answer is no list.
+    /// The connection broke, or the answer was not a valid list.
     Broken,
 }
 
-/// What a failed call shows of discovery.
+/// What a failed call shows about discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureEvidence {
-    /// It could be reached and refused.
+    /// It was reached and refused the call.
     Refused,
     /// It could not be reached while the call was in flight.
     Unreachable {
         /// Time since the call began.
         ago: Ticks,
     },
-    /// Neither.
+    /// Neither: the failure does not show whether it could be reached.
     None,
 }
 
-/// The properties of an answered list that matter here.
+/// Properties of a returned list that the schedule depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListAnswer {
     /// Revision of the list.
@@ -85,7 +85,7 @@
 /// Whether an answer is to be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerUse {
-    /// Use it.
+    /// Apply the list.
     Use,
     /// Drop it: it does not follow the held revision, so the full list is called for.
     Ignore,
--- a/crates/routing/src/interning.rs
+++ b/crates/routing/src/interning.rs
@@ -1,12 +1,11 @@
-//! Interns the identifiers of protocols: maps each to a small index by which the router is
-//! addressed.
+//! Interns the identifiers of protocols: maps each to the small index that the router uses for it.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
 use crate::api::{AttemptOutcome, ServerReport};
 
-/// Identifiers with an index each; released indices are given out again.
+/// Identifiers with an index each; released indices are reused.
 pub struct Indices<K> {
     index_by_id: HashMap<K, usize>,
     ids: Vec<K>,
@@ -24,7 +23,7 @@
 }
 
 impl<K: Clone + Eq + Hash> Indices<K> {
-    /// Index of an identifier, given out now if it has none.
+    /// Index of an identifier, newly assigned if it has none.
     pub fn index(&mut self, id: &K) -> usize {
         if let Some(&index) = self.index_by_id.get(id) {
             return index;
@@ -61,17 +60,21 @@
         self.len() == 0
     }
 
-    /// Identifier that an index was last given out to.
+    /// Identifier to which an index was last assigned.
     ///
     /// # Panics
     ///
-    /// If the index was never given out.
+    /// If the index was never assigned.
     #[must_use]
     pub fn id(&self, index: usize) -> &K {
         &self.ids[index]
     }
 
-    /// Releases an index.
+    /// Releases an index for reuse.
+    ///
+    /// # Panics
+    ///
+    /// If the index was never assigned.
     pub fn release(&mut self, index: usize) {
         if self.index_by_id.remove(&self.ids[index]).is_some() {
             self.free.push(index);
@@ -88,7 +91,7 @@
 /// Why a session keeps its index.
 #[derive(Clone, Copy, Default)]
 struct SessionUsage {
-    /// Writes that may yet be answered.
+    /// Writes of the session that are not finished or have an attempt in flight.
     pending_writes: usize,
     /// Whether the router remembers a position of the session.
     position_remembered: bool,
@@ -111,8 +114,8 @@
         self.indices.find(&Some(id)).unwrap_or(0)
     }
 
-    /// Index of a session for a write; it stays at least until [`Sessions::on_request_finished`] is called for the
-    /// request.
+    /// Index of a session for a write; it stays at least until [`Sessions::on_request_finished`] is
+    /// called for the request.
     pub fn index_for_write(&mut self, id: K) -> usize {
         let index = self.indices.index(&Some(id));
         if self.usage.len() <= index {
@@ -134,8 +137,8 @@
         self.indices.is_empty()
     }
 
-    /// Records how an attempt ended: the router remembers the position that a write was answered
-    /// with.
+    /// Records how an attempt ended: the router remembers the position reported with the answer to
+    /// a write.
     pub fn on_attempt_finished(
         &mut self,
         request: &RequestUsage,
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Records that a request is finished and none of its attempts is under way.
+    /// Records that a request is finished and none of its attempts is in flight.
     pub fn on_request_finished(&mut self, request: &RequestUsage) {
         if let Some(session) = request.session.filter(|_| request.write) {
             self.usage[session].pending_writes -= 1;
@@ -171,12 +174,12 @@
     }
 }
 
-/// What is remembered of a request for as long as the protocol may refer to it.
+/// State of a request that is kept for as long as the protocol may refer to it.
 #[derive(Clone, Copy, Default)]
 pub struct RequestUsage {
     /// Whether the request is finished.
     pub finished: bool,
-    /// Number of attempts under way.
+    /// Number of attempts in flight.
     pub attempts_in_flight: u32,
     /// Whether it is a write.
     pub write: bool,
@@ -185,8 +188,7 @@
 }
 
 impl RequestUsage {
-    /// Whether the request's index may be given out again: it is finished and no attempt is under
-    /// way.
+    /// Whether the request's index may be reused: it is finished and no attempt is in flight.
     #[must_use]
     pub fn is_releasable(&self) -> bool {
         self.finished && self.attempts_in_flight == 0
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -1,37 +1,38 @@
-//! Latency measurements, and the latencies and timeouts that follow from them.
+//! Latency measurements, and the expected latencies and timeouts that are derived from them.
 
 use crate::api::{Consistency, MILLISECOND, RequestClass, Ticks};
 
 const BUCKETS: usize = 16;
-/// Weight of one sample, so that a single one fades over five halvings.
+/// Weight of one sample, with which a single sample is forgotten after five halvings.
 const SAMPLE_WEIGHT: u32 = 16;
 
-/// Samples kept of the latencies of a request class.
+/// Samples that the histogram of a request class holds.
 const CLASS_SAMPLES: u32 = 256;
-/// Samples of the typical latency that a class starts with, so one slow answer does not bar the
-/// class.
+/// Samples of the typical latency that a class starts with, so one slow answer does not leave the
+/// class without capacity.
 const INITIAL_TYPICAL_SAMPLES: u32 = 7;
-/// Samples kept of a server or of a role: enough for a mean, few enough to follow a stall within a
-/// second.
+/// Samples that the histogram of a server or a role holds: enough for a mean, few enough to follow
+/// a stall within a second.
 const SERVER_SAMPLES: u32 = 12;
 /// Weight of a server's samples up to which they count as few, and decay more slowly.
 const FEW_SAMPLES_WEIGHT: u32 = 32;
 const SERVER_DECAY_INTERVAL: Ticks = 500 * MILLISECOND;
 const SLOW_DECAY_INTERVAL: Ticks = 2500 * MILLISECOND;
 
-/// Relative latency of a server that is as fast as usual, in percent.
+/// Relative latency of a server at the typical latency, in percent.
 const USUAL_RELATIVE_LATENCY: i64 = 100;
-/// Samples that the estimate above a histogram counts for.
+/// Number of samples for which the prior of a mean relative latency counts.
 const PRIOR_SAMPLES: i64 = 2;
 /// Relative latency recorded for a rejection by an overloaded server, in percent of its class's
 /// objective.
 const OVERLOAD_PERCENT: i64 = 200;
-/// Concurrency is measured in hundredths of an attempt.
+/// Unit of concurrency histograms: they hold hundredths of an attempt.
 const CONCURRENCY_UNIT: i64 = 100;
-/// Offset of a histogram of concurrency, which holds the attempts beside the one measured.
+/// Added to the mean of a concurrency histogram, which does not include the measured attempt: the
+/// lowest bucket has a mean of 33, which makes 100 for one attempt.
 const CONCURRENCY_OFFSET: i64 = 67;
-/// Slowdown in percent that counts for concurrency above the usual: half where the server is not
-/// slow.
+/// Limits of a server's slowdown, in percent, that scales the effect of concurrency above the
+/// usual: half of it where the server is not slow.
 const MIN_SLOWDOWN: i64 = 30;
 const MAX_SLOWDOWN: i64 = 60;
 
@@ -41,8 +42,8 @@
 pub(crate) const HOLD_MARGIN: Ticks = 2000 * MILLISECOND;
 const TIMEOUT_PERCENTILE: u32 = 95;
 
-/// Histogram with few coarse buckets, each half as wide again as the one before, that forgets by
-/// halving.
+/// Histogram with few coarse buckets, whose bounds grow by half from each to the next. Old values
+/// lose weight by halving.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     buckets: [u32; BUCKETS],
@@ -68,13 +69,13 @@
         }
     }
 
-    /// Halves the weight of all that was recorded.
+    /// Halves the weight of all recorded values.
     pub fn halve(&mut self) {
         self.buckets.iter_mut().for_each(|weight| *weight /= 2);
         self.weight = self.buckets.iter().sum();
     }
 
-    /// Upper bound of the bucket below which `percent` of the values lie.
+    /// Upper bound of the bucket that holds the percentile `percent`; `None` without values.
     #[must_use]
     pub fn quantile(&self, percent: u32) -> Option<i64> {
         let mut remaining = (self.weight * percent).div_ceil(100);
@@ -87,10 +88,10 @@
         None
     }
 
-    /// Mean, as if `prior_samples` more values had been `prior`.
+    /// Mean of the values and of `prior_samples` more that equal `prior`; `prior` without values.
     #[must_use]
     pub fn mean(&self, prior: i64, prior_samples: i64) -> i64 {
-        // Five sixths of its upper bound is the middle of a bucket.
+        // The middle of a bucket is five sixths of its upper bound.
         let sum: i64 = self
             .buckets
             .iter()
@@ -105,7 +106,7 @@
     }
 }
 
-/// Time that a request has left, in ticks.
+/// Time that a request has left.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLeft {
     /// Until its latency objective; negative once that has passed.
@@ -114,7 +115,7 @@
     pub to_deadline: Ticks,
 }
 
-/// A request class with the latencies of its answers.
+/// Configuration of a request class and the latencies of its answers.
 pub struct ClassLatency {
     pub(crate) config: RequestClass,
     latencies: Histogram,
@@ -122,7 +123,8 @@
 }
 
 impl ClassLatency {
-    /// A class without answers, whose typical latency is taken to be a quarter of its objective.
+    /// State of a class without answers, whose typical latency is assumed to be a quarter of its
+    /// objective.
     #[must_use]
     pub fn new(config: RequestClass) -> Self {
         let typical = (config.latency_objective / 4).max(MILLISECOND);
@@ -130,7 +132,7 @@
         for _ in 0..INITIAL_TYPICAL_SAMPLES {
             latencies.record(typical, CLASS_SAMPLES);
         }
-        // One as late as an answer may be, so that timeouts are long until the latencies are known.
+        // One sample at the objective keeps timeouts long until the latencies are known.
         latencies.record(config.latency_objective, CLASS_SAMPLES);
         ClassLatency {
             config,
@@ -149,7 +151,7 @@
             .max(MILLISECOND);
     }
 
-    /// Median latency of an answer.
+    /// Median latency of the class's answers, at least a millisecond.
     #[must_use]
     pub fn typical(&self) -> Ticks {
         self.typical
@@ -175,8 +177,8 @@
 
     /// How long to wait for the answer of an attempt, where replicas hold reads for up to `hold`.
     ///
-    /// Twice what 95 % of the answers took, at least half and at most all of the time to the
-    /// objective; at most the replica's hold and a margin.
+    /// Twice the 95th percentile of the latencies, but at least half and at most all of the time to
+    /// the objective; at most the replica's hold and a margin.
     #[must_use]
     pub fn attempt_timeout(&self, left: TimeLeft, hold: Ticks) -> Ticks {
         let available = if left.to_objective > 0 {
@@ -184,14 +186,14 @@
         } else {
             left.to_deadline
         };
-        let usual = self
+        let twice_p95 = self
             .latencies
             .quantile(TIMEOUT_PERCENTILE)
             .unwrap_or(self.config.latency_objective / 2)
             * 2;
-        let timeout = usual.clamp(available / 2, available.max(1));
+        let timeout = twice_p95.clamp(available / 2, available.max(1));
         timeout
-            .min(hold + HOLD_MARGIN.max(usual))
+            .min(hold + HOLD_MARGIN.max(twice_p95))
             .min(left.to_deadline)
             .max(1)
     }
@@ -229,7 +231,7 @@
 }
 
 impl ServerLatency {
-    /// A server that is first seen now.
+    /// State of a server that is first listed at `now`.
     pub(crate) fn new(now: Ticks) -> Self {
         ServerLatency {
             decayed_at: now,
@@ -254,14 +256,14 @@
             .filter(|_| self.in_flight > 0);
     }
 
-    /// Records the time of an answer, or the time waited for one in vain.
+    /// Records the time of an answer, or the time after which an attempt timed out.
     pub(crate) fn record(&mut self, elapsed: Ticks, typical: Ticks, role: &mut RoleLatency) {
         let relative = elapsed * 100 / typical;
         self.relative.record(relative, SERVER_SAMPLES);
         role.relative.record(relative, SERVER_SAMPLES);
     }
 
-    /// Records how many attempts were under way beside one that was answered.
+    /// Records how many attempts were in flight beside one that was answered.
     pub(crate) fn record_concurrency(&mut self, attempts: u32) {
         self.concurrency
             .record(i64::from(attempts) * CONCURRENCY_UNIT, SERVER_SAMPLES);
@@ -284,23 +286,26 @@
     pub(crate) fn expected(&self, typical: Ticks, role: &RoleLatency, now: Ticks) -> Ticks {
         let relative = self.relative.mean(role.mean(), PRIOR_SAMPLES);
         let concurrency = i64::from(self.in_flight + 1) * CONCURRENCY_UNIT;
-        let usual = self.concurrency.mean(concurrency - CONCURRENCY_OFFSET, 0) + CONCURRENCY_OFFSET;
-        // With less than usual under way a slow server is as much less slow.
-        let relative = if concurrency < usual {
-            USUAL_RELATIVE_LATENCY + (relative - USUAL_RELATIVE_LATENCY) * concurrency / usual
+        let usual_concurrency =
+            self.concurrency.mean(concurrency - CONCURRENCY_OFFSET, 0) + CONCURRENCY_OFFSET;
+        // With fewer attempts in flight than usual, a server's deviation from the typical latency
+        // shrinks in proportion.
+        let relative = if concurrency < usual_concurrency {
+            USUAL_RELATIVE_LATENCY
+                + (relative - USUAL_RELATIVE_LATENCY) * concurrency / usual_concurrency
         } else {
             relative
         };
-        // With more under way it is as much slower if slow, and half of that if not, as it has
-        // cores to spare.
+        // With more in flight than usual, the latency of a slow server grows in proportion, and
+        // that of one that is not slow by half of that, as it has idle cores.
         let slowdown = (relative - USUAL_RELATIVE_LATENCY).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
-        let excess = (concurrency - usual).max(0) * slowdown / MAX_SLOWDOWN;
-        let latency = typical * relative / 100 * (usual + excess) / usual;
+        let excess = (concurrency - usual_concurrency).max(0) * slowdown / MAX_SLOWDOWN;
+        let latency = typical * relative / 100 * (usual_concurrency + excess) / usual_concurrency;
         latency.max(self.overdue_since.map_or(0, |since| now - since))
     }
 
-    /// Lets the past fade where that is due; little evidence fades more slowly, as little takes its
-    /// place.
+    /// Decays the measurements if that is due, and returns whether it was. Few samples decay more
+    /// slowly, as few new ones replace them.
     pub(crate) fn decay(&mut self, now: Ticks) -> bool {
         let interval = if self.relative.weight > FEW_SAMPLES_WEIGHT {
             SERVER_DECAY_INTERVAL
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,18 +2,20 @@
 //! when.
 //!
 //! [`router::Router`] takes events and returns actions, named in [`api`]; it does no I/O and reads
-//! no clock. Modules use only those before them in this list:
+//! no clock. A module depends only on modules that are earlier in this list:
 //!
-//! - state and its rules, each on its own: [`request_state`], [`request_queue`], [`retry_policy`],
+//! - self-contained state and its rules: [`request_state`], [`request_queue`], [`retry_policy`],
 //!   [`session_positions`], [`tenant_quotas`], [`latency`], [`slow_start`], [`outlier_detection`],
 //!   [`primary_tracking`], [`replica_position`], [`recent_outcomes`];
-//! - `cluster_state`, all that is known of the servers;
-//! - decisions by that state: `admission`, `primary_selection`, `replica_selection`, `rejection`;
-//! - changes of that state: `endpoint_list`, `server_feedback`;
-//! - [`router`], which coordinates.
+//! - `cluster_state`: the state of all servers, replica sets and request classes;
+//! - decisions based on that state: `admission`, `primary_selection`, `replica_selection`,
+//!   `rejection`;
+//! - updates of that state: `endpoint_list`, `server_feedback`;
+//! - [`router`], which coordinates the others.
 //!
-//! [`endpoint_watch`] decides on calls for the endpoint list, [`endpoint_lease`] how long a list
-//! may be used. Callers map the identifiers of their protocols to indices by [`interning`].
+//! [`endpoint_watch`] schedules the calls to discovery for the endpoint list, [`endpoint_lease`]
+//! decides how long a list may be used. Callers map the identifiers of their protocols to indices
+//! with [`interning`].
 
 #![warn(missing_docs)]
 
--- a/crates/routing/src/outlier_detection.rs
+++ b/crates/routing/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: ejects servers that are silent or that fail many requests.
+//! Outlier detection: ejects servers that do not respond or that answer many requests with errors.
 //!
 //! An ejected server gets no attempts for a window, then one at a time until it responds. A server
 //! that only stalled for a moment therefore loses its share of traffic for the window.
@@ -10,11 +10,12 @@
 const FAILURE_EJECTION: Ticks = 1000 * MILLISECOND;
 /// Attempts in a row without a response before a server counts as silent.
 const SILENT_ATTEMPTS: u32 = 3;
-/// Time past a replica's hold over which time-outs must stretch before a server counts as silent.
+/// Time beyond a replica's hold for which a server must leave attempts unanswered before time-outs
+/// make it count as silent.
 const MIN_SILENCE: Ticks = HOLD_MARGIN / 2;
 /// Errors before a server counts as failing.
 const MIN_ERRORS: u32 = 3;
-/// A server counts as failing with more than one error for so many answers.
+/// A server counts as failing with more than one error per this number of answers.
 const ANSWERS_PER_ERROR: u32 = 2;
 /// Time for which a server that rejected a request for lack of capacity counts as full.
 const OVERLOAD_PERIOD: Ticks = 200 * MILLISECOND;
@@ -24,9 +25,9 @@
 /// Why a server is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Nothing has been heard from it over several attempts.
+    /// Several attempts in a row got no response.
     Silent,
-    /// It answers with errors.
+    /// Too many answers were errors.
     Failing,
 }
 
@@ -48,19 +49,20 @@
     }
 }
 
-/// What is known of the health of a server.
+/// Health of a server, by the outcomes of its attempts.
 #[derive(Clone, Debug, Default)]
 pub struct ServerHealth {
     last_response: Ticks,
     ejected_until: Ticks,
-    /// It has been ejected and has not responded since the window passed: one attempt at a time.
+    /// Whether it gets one attempt at a time: it was ejected and has not responded since the window
+    /// passed.
     on_probation: bool,
     silent: bool,
     /// When the first attempt since the last response was started.
     unanswered_since: Option<Ticks>,
     /// Attempts since the last response that ended without one.
     unanswered_attempts: u32,
-    /// Those of them that count as late, unless the server is gone.
+    /// Those of them that count as late if the server turns out not to be gone.
     unconfirmed_timeouts: u32,
     errors: u32,
     answers: u32,
@@ -68,7 +70,7 @@
 }
 
 impl ServerHealth {
-    /// A server that is first seen now.
+    /// Health of a server that is first listed at `now`.
     #[must_use]
     pub fn new(now: Ticks) -> Self {
         ServerHealth {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Time of the last response.
+    /// Time of the last response, or of the first listing if there was none.
     #[must_use]
     pub fn last_response(&self) -> Ticks {
         self.last_response
@@ -89,19 +91,19 @@
         self.ejected_until > now
     }
 
-    /// Whether the server gets one attempt at a time.
+    /// Whether the server gets one attempt at a time, as it was ejected and is not readmitted yet.
     #[must_use]
     pub fn is_on_probation(&self) -> bool {
         self.on_probation
     }
 
-    /// Whether the server counts as silent.
+    /// Whether the server was ejected as silent and has not responded since.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
-    /// Whether the server has rejected a request a moment ago for lack of capacity.
+    /// Whether the server has rejected a request for lack of capacity a moment ago.
     #[must_use]
     pub fn is_overloaded(&self, now: Ticks) -> bool {
         self.overloaded_until > now
@@ -119,7 +121,7 @@
         self.unanswered_attempts > 0
     }
 
-    /// Records that the server was started anew.
+    /// Records that the server has restarted, which ends its ejection.
     pub fn on_restart(&mut self) {
         self.ejected_until = 0;
         self.on_probation = false;
@@ -131,12 +133,12 @@
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Records an answer.
+    /// Counts an answer for [`ServerHealth::is_failing`].
     pub fn on_answer(&mut self) {
         self.answers += 1;
     }
 
-    /// Records an error.
+    /// Counts an error for [`ServerHealth::is_failing`].
     pub fn on_error(&mut self) {
         self.errors += 1;
     }
@@ -146,8 +148,8 @@
         self.overloaded_until = now + OVERLOAD_PERIOD;
     }
 
-    /// Records a response of any kind and returns how many late attempts count after all, as the
-    /// server is not gone.
+    /// Records a response of any kind. Returns how many earlier time-outs are now to be counted as
+    /// late attempts, as the server is not gone.
     pub fn on_response(&mut self, now: Ticks) -> f64 {
         self.last_response = now;
         let confirmed_timeouts = if self.silent || !self.may_be_gone() {
@@ -166,11 +168,12 @@
         confirmed_timeouts
     }
 
-    /// Returns for how much an attempt counts in the shares of late attempts.
+    /// Returns the weight of an attempt in the shares of late attempts.
     ///
-    /// A server that does not respond may be gone, which is no shortage where others idle: a second
-    /// attempt in a row takes the first back, and all count once the server responds. That a server
-    /// is merely busy is therefore learned later where few attempts are made.
+    /// A server that does not respond may be gone, which is no shortage where other servers are
+    /// idle. A second unanswered attempt in a row therefore takes back the first, later ones have
+    /// no weight, and all are counted once the server responds. The cost is that where few attempts
+    /// are made, a server that is merely busy is recognized later.
     pub fn shortage_weight(&mut self, outcome: AttemptOutcome, unanswered: bool) -> f64 {
         let unconfirmed = unanswered
             && !matches!(
@@ -190,8 +193,8 @@
 
     /// Records an attempt without a response and returns whether the server counts as silent.
     ///
-    /// Single answers may be lost, connections may be short and servers be busy while they go on
-    /// working.
+    /// A single unanswered attempt is no proof, as an answer may be lost, connections may be
+    /// scarce, and a busy server may still be working.
     #[must_use]
     pub fn on_unanswered(&mut self, outcome: AttemptOutcome, hold: Ticks, now: Ticks) -> bool {
         self.unanswered_attempts += 1;
@@ -217,7 +220,7 @@
         newly_ejected
     }
 
-    /// Lets the counts of errors and answers fade.
+    /// Halves the counts of errors and answers.
     pub fn decay(&mut self) {
         self.errors /= 2;
         self.answers /= 2;
--- a/crates/routing/src/primary_selection.rs
+++ b/crates/routing/src/primary_selection.rs
@@ -1,5 +1,5 @@
-//! Selects the primary for a request that only the primary may answer, and looks for it while it is
-//! unknown.
+//! Selects the primary for a request that only the primary may answer, and searches for it while it
+//! is unknown.
 
 use crate::admission;
 use crate::api::{Consistency, MILLISECOND, ReplicaCheck, Ticks};
@@ -35,17 +35,17 @@
 /// Whether the gateway shuts down and the primary has left an attempt without a response since it
 /// last responded.
 ///
-/// There is no time left to find out whether it hangs: a request that waits can be shed at the end,
-/// one that was sent may have been executed.
+/// There is no time left to find out whether it hangs. A request that waits can still be shed at
+/// shutdown, while one that was sent may have been executed and can only be failed.
 fn is_hung_at_shutdown(cluster: &ClusterState, primary: usize) -> bool {
     cluster.shutdown_at.is_some() && cluster.servers[primary].health.is_unresponsive()
 }
 
 /// Whether a request may try members while the primary is unknown.
 ///
-/// It may use half of its attempts. Once no member of the set has been tried or has reported for a
-/// while it may use all but the last, so a set whose primary returns late still takes the writes
-/// that wait for it.
+/// A request may use half of its attempts for the search. Once no member of the set has been tried
+/// or has reported for [`SET_IDLE_PERIOD`] it may use all but the last, so a set whose primary
+/// returns late still gets the writes that wait for it.
 fn may_search(cluster: &ClusterState, request: &RequestState) -> bool {
     let consistency = cluster.classes[request.class].config.consistency;
     let unchecked =
@@ -61,8 +61,9 @@
     !unchecked && used < cluster.config.permissions.max_attempts
 }
 
-/// The member to try: not ejected, reported longest ago or never, else at random, so gateways do
-/// not all try the same.
+/// Selects the member to try: one that is not ejected before one that is, then the one that
+/// reported longest ago or never. Ties are broken at random, so gateways do not all try the same
+/// member.
 fn select_member(
     cluster: &ClusterState,
     request: &RequestState,
--- a/crates/routing/src/primary_tracking.rs
+++ b/crates/routing/src/primary_tracking.rs
@@ -1,23 +1,24 @@
 //! Tracks which server is the primary of each replica set.
 //!
-//! The primary is the member that was last reported to be, by an answer, a gossiped announcement or
-//! the endpoint list. The list is late, so it counts only where answers are silent on the matter.
+//! The primary is the member that was last named primary by an answer, a gossiped announcement or
+//! the endpoint list. The list lags behind, so it counts only where there is no recent report.
 
 use crate::api::{MILLISECOND, Ticks};
 
 /// Time without reports after which the endpoint list may name another primary; longer than the
-/// list is late.
+/// list lags behind.
 const REPORT_PRECEDENCE: Ticks = 10_000 * MILLISECOND;
+
 /// Role of a server in its replica set, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It is the known primary.
+    /// The known primary of its set.
     Primary,
-    /// It is not.
+    /// Any other member, also while the primary is unknown.
     Replica,
 }
 
-/// The primary of a replica set, as far as it is known.
+/// What this gateway knows of the primary of a replica set.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownPrimary {
     server: Option<usize>,
@@ -44,7 +45,7 @@
         self.server.replace(server) != Some(server)
     }
 
-    /// Takes over a primary that the endpoint list names; returns whether that is a change.
+    /// Records a primary that the endpoint list names; returns whether that is a change.
     pub fn set_listed(&mut self, server: usize) -> bool {
         self.server.replace(server) != Some(server)
     }
--- a/crates/routing/src/recent_outcomes.rs
+++ b/crates/routing/src/recent_outcomes.rs
@@ -1,21 +1,21 @@
-//! How attempts have ended of late, and the shortage of capacity that follows from it.
+//! Recent outcomes of attempts, and the shortage of capacity that they indicate.
 
 use crate::primary_tracking::Role;
 
-/// Late attempts and all attempts that are assumed at first.
+/// Late attempts, and attempts in all, that are added to the counts as a prior.
 const PRIOR_LATE: f64 = 4.0;
 const PRIOR_FINISHED: f64 = 40.0;
-/// Line by which the share of late attempts becomes the shortage: from 0 at 4 % to 1 at 10 %.
+/// Linear function from the share of late attempts to the shortage: from 0 at 4 % to 1 at 10 %.
 const SHORTAGE_SLOPE: f64 = 16.0;
 const SHORTAGE_OFFSET: f64 = 0.6;
-/// Factor by which the counts fade, once a second.
+/// Factor on the counts at every decay, once a second.
 const OUTCOME_DECAY: f64 = 0.8;
 
-/// Fading count of attempts.
+/// Counts of attempts, which decay over time.
 #[derive(Clone, Copy, Debug, Default)]
 struct OutcomeCount {
     finished: f64,
-    /// Those of them that ended late or without capacity.
+    /// Those of them that timed out, were rejected as overload or got no connection.
     late: f64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// How the attempts of late have ended, at primaries and at replicas.
+/// Counts of recent attempts, at primaries and at replicas.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentOutcomes {
     primaries: OutcomeCount,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Records an attempt that ended; a negative weight takes back an earlier one.
+    /// Counts an attempt that has ended; a negative weight takes back an earlier one.
     pub fn record(&mut self, role: Role, late: bool, weight: f64) {
         let count = self.count_mut(role);
         count.finished = (count.finished + weight).max(0.0);
@@ -55,19 +55,20 @@
         count.late += weight;
     }
 
-    /// Lets the counts fade; called once a second.
+    /// Decays the counts; called once a second.
     pub fn decay(&mut self) {
         self.primaries.decay();
         self.replicas.decay();
     }
 
-    /// Share of the attempts at primaries that ended in time, as if `prior` more had.
+    /// Share of the attempts at primaries that ended in time, with `prior` more assumed that did.
     #[must_use]
     pub fn primary_in_time(&self, prior: f64) -> f64 {
         1.0 - self.primaries.late / (self.primaries.finished + prior)
     }
 
-    /// Shortage of capacity from 0 to 1. It is presumed until enough attempts have ended in time.
+    /// Shortage of capacity, from 0 to 1. A shortage is assumed until enough attempts have ended in
+    /// time.
     #[must_use]
     pub fn shortage(&self) -> f64 {
         let finished = self.primaries.finished + self.replicas.finished;
--- a/crates/routing/src/replica_selection.rs
+++ b/crates/routing/src/replica_selection.rs
@@ -1,9 +1,9 @@
 //! Selects a server for reads that a replica may answer.
 //!
-//! The selected replica is the one with the fewest attempts under way among those known to cover
+//! The selected replica is the one with the fewest attempts in flight among those known to cover
 //! the required position, else the least loaded of those nearest to it. Ties go to this gateway's
-//! zone, then by chance in proportion to size and speed. Where no replica takes the read it
-//! overflows to the primary.
+//! zone, then at random in proportion to size and speed. A read that no replica can take overflows
+//! to the primary.
 
 use crate::admission;
 use crate::api::{Consistency, MILLISECOND, ReplicaCheck, Ticks};
@@ -11,17 +11,17 @@
 use crate::primary_selection;
 use crate::request_state::RequestState;
 
-/// Lag above which a replica is preferred for reads without a required position; above the usual,
-/// far below any bound.
-const LAGGING: Ticks = 400 * MILLISECOND;
-/// Gaps below this are told apart by load only.
+/// Lag above which a replica is preferred for reads without a required position; above the usual
+/// lag, and far below the bound of any [`Consistency::Bounded`] class.
+const MIN_PREFERRED_LAG: Ticks = 400 * MILLISECOND;
+/// Gaps below this count as equal, so load decides between them.
 const GAP_STEP: Ticks = 100 * MILLISECOND;
-/// Size assumed of a server that is listed with less.
+/// Least size that is assumed of a server, also if it is listed with less.
 const MIN_SIZE: f64 = 0.01;
-/// Exponent with which the chance of an overflow falls with the share of late attempts at
+/// Exponent of the probability of an overflow, whose base is the share of in-time attempts at
 /// primaries.
 const OVERFLOW_EXPONENT: i32 = 8;
-/// Attempts in time that are assumed of primaries at first.
+/// In-time attempts that are added to those at primaries as a prior.
 const OVERFLOW_PRIOR: f64 = 4.0;
 
 /// Classes of distance from a required position, in order of preference.
@@ -30,11 +30,11 @@
     pub(super) const COVERED: i64 = 0;
     /// Believed to cover it by now.
     pub(super) const BELIEVED: i64 = 1;
-    /// The nearest of those not believed to cover it; farther ones follow.
-    pub(super) const SHORT: i64 = 2;
+    /// Not believed to cover it; the class grows with the logarithm of the distance.
+    pub(super) const BEHIND: i64 = 2;
 }
 
-/// How sure it must be that a replica covers the required position.
+/// How certain it must be that a replica covers the required position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Certainty {
     Known,
@@ -140,7 +140,7 @@
         && admission::has_capacity(cluster, request, member)
 }
 
-/// How far a replica is from the required position, as one of the classes in [`gap`].
+/// Distance of a replica from the required position, as one of the classes in [`gap`].
 ///
 /// Reads without a required position prefer the replica that lags most, if it lags at all: reads
 /// that require a position cannot go there, and all gateways see the same positions and choose the
@@ -150,26 +150,26 @@
     let believed = state.position.believed(state.role.reported_at, now);
     let Some(required) = required else {
         return match reported {
-            Some(position) if now - believed > LAGGING => position - now,
+            Some(position) if now - believed > MIN_PREFERRED_LAG => position - now,
             _ => gap::COVERED,
         };
     };
     match reported {
         Some(position) if position >= required => gap::COVERED,
-        // A read that waits for a replica takes no chances with one that has reported nothing.
-        None if waiting => gap::SHORT,
+        // A read that waits for a replica is not sent to one that has reported no position.
+        None if waiting => gap::BEHIND,
         _ => match required - believed {
-            short if short <= 0 => gap::BELIEVED,
-            short => gap::SHORT + i64::from((short / GAP_STEP).max(1).ilog2()),
+            distance if distance <= 0 => gap::BELIEVED,
+            distance => gap::BEHIND + i64::from((distance / GAP_STEP).max(1).ilog2()),
         },
     }
 }
 
-/// The primary, where it has capacity for a read that no replica takes.
+/// Selects the primary for a read that no replica can take, if it has capacity.
 ///
-/// The chance falls steeply with the share of attempts at primaries that end late, which protects
-/// writes from the reads of many gateways. A primary that is slow for another reason gets fewer
-/// reads for some seconds.
+/// The probability falls steeply with the share of attempts at primaries that end late, which
+/// protects writes from the reads of many gateways. A primary that is slow for another reason gets
+/// fewer reads for some seconds.
 fn overflow_to_primary(
     cluster: &ClusterState,
     request: &RequestState,
@@ -177,13 +177,13 @@
 ) -> Option<usize> {
     let primary = cluster.sets[request.set].primary.server()?;
     let state = cluster.usable(primary)?;
-    let unsure = required.is_some()
+    let position_unknown = required.is_some()
         && cluster.config.replica_check == ReplicaCheck::None
         && state.role.reported_at.is_none();
     let in_time = cluster.recent_outcomes.primary_in_time(OVERFLOW_PRIOR);
-    let spared = request.overflow_draw > in_time.powi(OVERFLOW_EXPONENT);
-    let admitted = !unsure
-        && !spared
+    let protected = request.overflow_draw > in_time.powi(OVERFLOW_EXPONENT);
+    let admitted = !position_unknown
+        && !protected
         && !state.health.may_be_gone()
         && admission::has_capacity(cluster, request, primary);
     admitted.then_some(primary)
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -22,7 +22,7 @@
         self.retries.push_back(request);
     }
 
-    /// Keeps a request until [`RequestQueue::take_waiting`].
+    /// Adds a request that waits for capacity, until [`RequestQueue::take_waiting`] removes it.
     pub fn push_waiting(&mut self, request: usize) {
         self.waiting.push(request);
     }
--- a/crates/routing/src/request_state.rs
+++ b/crates/routing/src/request_state.rs
@@ -1,6 +1,6 @@
-//! State of a request: its phase, what it needs, and the attempts made for it.
+//! State of a request: its phase, its requirements, and its attempts.
 //!
-//! The path of a request is the table of [`Transition`]s, which [`next`] looks up.
+//! The state machine is a table of [`Transition`]s, in which [`next`] looks up events.
 
 use crate::api::{AttemptOutcome, Request, Ticks};
 
@@ -14,16 +14,16 @@
     Queued,
     /// Waiting for capacity.
     Waiting,
-    /// An attempt is under way.
+    /// An attempt is in flight.
     InFlight,
     /// Answered, rejected or abandoned by its client.
     Finished,
 }
 
-/// What happens to a request.
+/// An event in the life cycle of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// The client has sent it.
+    /// The gateway has received it from the client.
     Arrived,
     /// It has reached the head of its queue.
     Dequeued,
@@ -33,16 +33,16 @@
     NoCapacity,
     /// It cannot be answered in time any more, or may not be attempted again.
     GivenUp,
-    /// Its last attempt under way ended without an answer.
+    /// Its last attempt in flight ended without an answer.
     AttemptFailed,
     /// It has been answered, or its client has disconnected.
     Finished,
 }
 
-/// What a transition causes.
+/// Step that the router takes after a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// No step.
     None,
     /// Queue the request for its first attempt.
     QueueFirstAttempt,
@@ -56,16 +56,16 @@
     Reject,
 }
 
-/// A row of the state machine.
+/// A row of the state machine's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// Phase in which the event is expected.
     pub from: Phase,
-    /// The event.
+    /// Event that triggers the transition.
     pub event: RequestEvent,
-    /// Phase that follows.
+    /// Phase after the transition.
     pub to: Phase,
-    /// What the transition causes.
+    /// Step that the caller takes after the transition.
     pub effect: Effect,
 }
 
@@ -103,7 +103,7 @@
         .find(|row| row.from == phase && row.event == event)
 }
 
-/// What the router remembers of a request.
+/// State that the router keeps of a request.
 #[derive(Default)]
 pub(crate) struct RequestState {
     pub(crate) phase: Phase,
@@ -112,19 +112,20 @@
     pub(crate) session: Option<usize>,
     /// Replication position that an answer must cover.
     pub(crate) required_position: Option<Ticks>,
-    /// The part of it that the request itself came with.
-    pub(crate) stated_position: Option<Ticks>,
+    /// Position that the request itself carried, without the one remembered for its session.
+    pub(crate) carried_position: Option<Ticks>,
     pub(crate) timing: RequestTiming,
     pub(crate) over_quota: bool,
     pub(crate) client_retry: bool,
-    /// Its client has the row of this write, and the server's report is to come.
+    /// Whether the client has received the result row of this write while the server's report is
+    /// pending.
     pub(crate) awaits_report: bool,
     /// Random number from 0 to 1 that decides whether a read may overflow to the primary.
     pub(crate) overflow_draw: f64,
     pub(crate) attempts: AttemptHistory,
 }
 
-/// Times of a request.
+/// Arrival time and deadlines of a request.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RequestTiming {
     pub(crate) arrived_at: Ticks,
@@ -134,7 +135,7 @@
     pub(crate) wait_for_replica_until: Ticks,
 }
 
-/// The attempts of a request.
+/// Attempts of a request so far, and what their outcomes imply for further ones.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
     pub(crate) started: u32,
@@ -156,18 +157,18 @@
     pub(crate) zone: usize,
 }
 
-/// An attempt under way.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
     pub(crate) number: u32,
     pub(crate) server: usize,
     pub(crate) started_at: Ticks,
-    /// Attempts under way at the server when this one started.
+    /// Attempts in flight at the server when this one started.
     pub(crate) concurrency: u32,
 }
 
 impl RequestState {
-    /// A request that has just arrived.
+    /// State of a request that arrives at `now`.
     pub(crate) fn new(request: &Request, now: Ticks) -> Self {
         let possibly_executed = request
             .first_attempt_elsewhere
@@ -182,7 +183,7 @@
                 wait_for_replica_until: request.wait_for_replica_until,
             },
             client_retry: request.client_retry,
-            stated_position: request.required_position,
+            carried_position: request.required_position,
             attempts: AttemptHistory {
                 possibly_executed,
                 ..AttemptHistory::default()
@@ -200,7 +201,8 @@
 }
 
 impl AttemptHistory {
-    /// Records an attempt that starts now.
+    /// Records an attempt that starts at `now`, beside `concurrency` others in flight at the
+    /// server.
     pub fn start(&mut self, server: usize, concurrency: u32, now: Ticks) {
         self.in_flight.push(InFlightAttempt {
             number: self.started,
@@ -211,7 +213,7 @@
         self.started += 1;
     }
 
-    /// Removes an attempt under way by its number.
+    /// Removes an attempt in flight by its number; `None` if it is not in flight.
     pub fn remove(&mut self, number: u32) -> Option<InFlightAttempt> {
         let index = self.in_flight.iter().position(|a| a.number == number)?;
         Some(self.in_flight.swap_remove(index))
--- a/crates/routing/src/retry_policy.rs
+++ b/crates/routing/src/retry_policy.rs
@@ -1,14 +1,14 @@
-//! Retry policy: until when and where a request may be attempted again without the risk of a second
-//! effect.
+//! Retry policy: until when and in which zones a request may be attempted again without the risk of
+//! a second effect.
 
 use crate::api::{DeduplicationScope, Idempotency, Ticks};
 use crate::request_state::AttemptHistory;
 
-/// What the idempotency of a request class permits.
+/// Attempts and client retries that the idempotency of a request class permits.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     idempotency: Idempotency,
-    /// Time kept in hand before a deduplication window closes.
+    /// Safety margin before the end of a deduplication window.
     batch_interval: Ticks,
 }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,8 +1,8 @@
 //! Coordinates the routing decisions.
 //!
 //! A caller makes one [`Router`] per gateway from its [`RoutingConfig`], hands it one [`Event`] at
-//! a time with the time on the gateway's clock, and carries out the [`Action`]s that
-//! [`Router::handle`] appends. All rules are in the other modules.
+//! a time with the time on the gateway's clock, and executes the [`Action`]s that
+//! [`Router::handle`] appends. The rules of the decisions are in the other modules.
 
 use crate::admission;
 use crate::api::{
@@ -37,7 +37,7 @@
 }
 
 impl Router {
-    /// A router that knows no servers yet.
+    /// Creates a router that knows no servers yet.
     #[must_use]
     pub fn new(config: RoutingConfig) -> Self {
         Router {
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Takes an event that happens at the time `now`, and appends the actions that follow.
+    /// Handles an event that happens at the time `now`, and appends the resulting actions.
     pub fn handle(&mut self, now: Ticks, event: &Event<'_>, actions: &mut Vec<Action>) {
         if matches!(event, Event::WriteAnswered(_)) {
-            // Nothing follows from it by itself, and the end of the attempt is about to come.
+            // It causes no action, and the `AttemptFinished` that follows serves the queue.
             return self.dispatch(event, actions);
         }
         self.cluster.now = self.cluster.now.max(now);
@@ -216,8 +216,8 @@
         actions.extend(expired.into_iter().map(Action::ReleaseSession));
     }
 
-    /// Until the position of an answered write is reported, its session's reads go to no replica that
-    /// does not check positions itself.
+    /// Makes the session's reads require an unreported position until the position of the answered
+    /// write is reported, where replicas do not check positions themselves.
     fn on_write_answered(&mut self, index: usize) {
         let Some(request) = self.requests.get_mut(index) else {
             return;
@@ -229,7 +229,8 @@
         }
     }
 
-    /// The position of an answered write; one that was never reported lies before now.
+    /// Position of an answered write. Where its client was answered and no position was reported,
+    /// that is the current time, which is later than the commit.
     fn committed_position(&mut self, finished: &FinishedAttempt) -> Option<Ticks> {
         let reported = finished.report.and_then(|report| report.position);
         let request = &mut self.requests[finished.request];
@@ -242,12 +243,13 @@
         reported.or(Some(self.cluster.now))
     }
 
-    /// A position that had not been reported when the request arrived may be known by now.
+    /// Replaces a required position that was unreported when the request arrived, as it may be
+    /// known by now.
     fn update_required_position(&mut self, index: usize) {
         let request = &mut self.requests[index];
         if let (Some(UNREPORTED), Some(session)) = (request.required_position, request.session) {
             let known = self.sessions.required_position(session, request.set);
-            request.required_position = Some(known).max(request.stated_position);
+            request.required_position = Some(known).max(request.carried_position);
         }
     }
 
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Takes a request through its state machine until no further event follows.
+    /// Advances a request through its state machine until no further event follows.
     fn advance(&mut self, request: usize, event: RequestEvent, actions: &mut Vec<Action>) {
         let mut next_event = Some(event);
         while let Some(event) = next_event.take() {
@@ -314,13 +316,13 @@
         let now = cluster.now;
         let request = &mut self.requests[index];
         let class = &cluster.classes[request.class];
-        let left = TimeLeft {
+        let time_left = TimeLeft {
             to_objective: request
                 .timing
                 .objective_left(class.config.latency_objective, now),
             to_deadline: rejection::time_left(cluster, request),
         };
-        let timeout = class.attempt_timeout(left, cluster.replica_hold());
+        let timeout = class.attempt_timeout(time_left, cluster.replica_hold());
         let start_by = cluster
             .retry_policy(request.class)
             .latest_start(&request.attempts, rejection::answer_by(cluster, request));
@@ -344,7 +346,8 @@
         admission::requeue_waiting(&mut self.queue, &self.cluster, &self.requests);
     }
 
-    /// Selects servers for all queued requests, and sets the timer if any still wait.
+    /// Selects servers for all queued requests, and sets the timer if any request still waits or a
+    /// watch of the endpoint list is scheduled.
     fn serve_queue(&mut self, actions: &mut Vec<Action>) {
         while let Some(request) = self.queue.pop() {
             self.advance(request, RequestEvent::Dequeued, actions);
--- a/crates/routing/src/server_feedback.rs
+++ b/crates/routing/src/server_feedback.rs
@@ -1,5 +1,5 @@
-//! Takes over what attempts, probes and announcements show of the servers: their speed, health,
-//! role and position.
+//! Updates latency, health, role and position of servers from the outcomes of attempts and probes,
+//! and from announcements of primaries.
 
 use crate::api::{
     Action, AttemptOutcome, FinishedAttempt, PrimaryAnnouncement, ServerReport, Ticks,
@@ -9,7 +9,7 @@
 use crate::primary_tracking::Role;
 use crate::request_state::InFlightAttempt;
 
-/// Takes over how an attempt of a request of this class ended; returns whether a new primary has
+/// Records how an attempt of a request of this class ended; returns whether a new primary has
 /// become known.
 #[must_use]
 pub(crate) fn on_attempt_finished(
@@ -48,7 +48,7 @@
     primary_changed
 }
 
-/// Records what an attempt says of latency, load and shortage.
+/// Records the latency, load and shortage that an attempt shows.
 fn record_measurements(
     cluster: &mut ClusterState,
     finished: &FinishedAttempt,
@@ -123,14 +123,14 @@
     server.health.on_answer();
 }
 
-/// Whether the time of an attempt says something of the server's speed; a time waited in vain is a
-/// lower bound.
+/// Whether the time of an attempt measures the server's latency; the time of one that timed out is
+/// a lower bound.
 fn is_measured(outcome: AttemptOutcome) -> bool {
     matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::TimedOut)
 }
 
-/// Whether an attempt counts in the share of late ones; a primary that lacks a connection for a
-/// read lacks it for writes as well.
+/// Whether an attempt counts in the shares of late attempts. At a primary one that finds no
+/// capacity counts as well: a primary that lacks a connection for a read lacks it for writes, too.
 fn shows_shortage(outcome: AttemptOutcome, role: Role) -> bool {
     let no_capacity = matches!(
         outcome,
@@ -152,7 +152,8 @@
     }
 }
 
-/// Takes over that a server has responded; returns whether a new primary has become known.
+/// Records a response of a server and its report, if any; returns whether a new primary has become
+/// known.
 #[must_use]
 pub(crate) fn on_response(
     cluster: &mut ClusterState,
@@ -178,7 +179,7 @@
     on_report(cluster, server, report, actions)
 }
 
-/// Takes over what a server reports of its role; returns whether it is a new primary.
+/// Records the role that a server reports; returns whether it is a new primary.
 #[must_use]
 pub(crate) fn on_report(
     cluster: &mut ClusterState,
@@ -213,11 +214,11 @@
     false
 }
 
-/// Takes over a primary announced by another gateway, unless a report here is newer; returns
+/// Records a primary announced by another gateway, unless a report to this one is newer; returns
 /// whether it is a change.
 ///
-/// This spares gateways with few requests a round of rejections; a false announcement spreads as
-/// well.
+/// Announcements save gateways with few requests a round of rejected attempts; the cost is that a
+/// false announcement spreads as well.
 #[must_use]
 pub(crate) fn on_announcement(
     cluster: &mut ClusterState,
@@ -243,7 +244,7 @@
     changed
 }
 
-/// Ejects a server; the primary of a set that is silent is no longer taken for the primary.
+/// Ejects a server; if it is a primary that is silent, the primary of its set becomes unknown.
 pub(crate) fn eject(
     cluster: &mut ClusterState,
     server: usize,
--- a/crates/routing/src/session_positions.rs
+++ b/crates/routing/src/session_positions.rs
@@ -3,20 +3,20 @@
 //! # Invariants
 //!
 //! A position that is forgotten raises the low watermark of its replica set, so every later read of
-//! the set covers it.
+//! the set still requires at least that position.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{MILLISECOND, Ticks};
 
-/// How long the position of a session is remembered; longer than replicas usually lag, so the low
-/// watermark costs nothing.
+/// How long the position of a session is remembered; longer than replicas usually lag, so they
+/// cover the low watermark at no cost.
 const RETENTION: Ticks = 30_000 * MILLISECOND;
-/// Most writes that are remembered.
+/// Most writes that are remembered, of all sessions together.
 const MAX_WRITES: usize = 50_000;
 
-/// Stands for the position of a write whose client has its answer while its server has not reported
-/// the position yet: no replica is known to cover it.
+/// Required position after a write that was answered to its client while its server has not
+/// reported the position yet. No replica is known to cover it.
 pub const UNREPORTED: Ticks = Ticks::MAX;
 
 /// A write and the position it committed at.
@@ -41,7 +41,8 @@
 }
 
 impl SessionPositions {
-    /// Position that a read of this session must see in the replica set.
+    /// Position that a read of this session must cover in the replica set; 0 where any will do, and
+    /// [`UNREPORTED`] after a write whose position is pending.
     #[must_use]
     pub fn required_position(&self, session: usize, set: usize) -> Ticks {
         if self.unreported.contains_key(&(session, set)) {
@@ -53,12 +54,12 @@
             .map_or(low_watermark, |&position| position.max(low_watermark))
     }
 
-    /// The client of a write has its answer, and the position follows.
+    /// Records that a write was answered to its client while its position is pending.
     pub fn on_write_answered(&mut self, session: usize, set: usize) {
         *self.unreported.entry((session, set)).or_default() += 1;
     }
 
-    /// An answered write's position has been reported, or never will be.
+    /// Records that the position of an answered write was reported, or will not be.
     pub fn on_write_reported(&mut self, session: usize, set: usize) {
         if let Some(count) = self.unreported.get_mut(&(session, set)) {
             *count -= 1;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Remembers the position of a write.
+    /// Remembers the position at which a write committed.
     pub fn record_write(&mut self, session: usize, set: usize, position: Ticks) {
         if self.positions.len() <= session {
             self.positions.resize(session + 1, 0);
--- a/crates/routing/src/slow_start.rs
+++ b/crates/routing/src/slow_start.rs
@@ -1,27 +1,28 @@
-//! Slow start: the work a server may be given while it warms up.
+//! Slow start: limits the work that a server gets while it warms up.
 //!
-//! A warming server gets at most its part of what a warm server of its size has answered to this
-//! gateway, so all gateways together stay below what overloads it. Where every server is warming
-//! up, little is sent.
+//! A warming server gets at most a share, by its current capacity, of the work that a warm server
+//! of its size has answered for this gateway, so all gateways together stay below what overloads
+//! it. Where every server is warming up, little is sent.
 
 use crate::api::{MILLISECOND, ServerProtection, Ticks};
 
-/// Factor on the warm throughput at every decay: the past fades over some twenty seconds.
+/// Factor on the warm throughput at every decay: past throughput fades over some twenty seconds.
 const THROUGHPUT_DECAY: f64 = 0.95;
 /// Time between two decays, in ticks.
 const DECAY_INTERVAL: f64 = (1000 * MILLISECOND) as f64;
-/// Server time assumed at first, in ticks for a server of size 1, so the first answers do not pass
-/// for steady throughput.
+/// Server time assumed at first, in ticks for a server of size 1, so the first answers are not
+/// taken for steady throughput.
 const INITIAL_SERVER_TIME: f64 = (2000 * MILLISECOND) as f64;
-/// Part of the overload multiple that is used: warm servers mostly answer less than they could.
+/// Fraction of the overload multiple that is used, as warm servers mostly answer less than they
+/// could.
 const OVERLOAD_SAFETY: f64 = 0.6;
-/// Part of its cost that an attempt is charged which only the primary can take; the safety factor
-/// leaves room for it.
+/// Fraction of its cost that is charged for an attempt that only the primary can take; the safety
+/// factor leaves room for the rest.
 const PRIMARY_COST_FACTOR: f64 = 0.6;
-/// Part of the overload window whose budget may be saved up.
+/// Unused budget accumulates up to that of the overload window divided by this.
 const BURST_DIVISOR: f64 = 4.0;
 
-/// Part of its capacity that a server started at `started_at` (0 when long ago) has now; `None`
+/// Fraction of its capacity that a server started at `started_at` (0 when long ago) has now; `None`
 /// once it is warm.
 #[must_use]
 pub fn warming_capacity(
@@ -64,16 +65,16 @@
         self.work += cost;
     }
 
-    /// Lets the past fade; called once a second.
+    /// Decays past throughput; called once a second.
     ///
-    /// The second that has passed counts by the servers there were then, so the remaining servers
-    /// are not taken to have done the work of those that have gone.
+    /// The past second counts as server time of the servers that were warm then, so the work of
+    /// servers that are gone is not attributed to the remaining ones.
     pub fn decay(&mut self) {
         self.work *= THROUGHPUT_DECAY;
         self.server_time = self.server_time * THROUGHPUT_DECAY + DECAY_INTERVAL * self.total_size;
     }
 
-    /// Takes over the sum of the sizes of the usable warm servers.
+    /// Sets the sum of the sizes of the usable warm servers.
     pub fn set_total_size(&mut self, total_size: f64) {
         self.total_size = total_size;
         if self.work == 0.0 {
@@ -93,7 +94,7 @@
 pub struct WarmingServer {
     /// Its relative size, by the endpoint list.
     pub size: f64,
-    /// Part of its capacity that it has now, by [`warming_capacity`].
+    /// Fraction of its capacity that it has now, by [`warming_capacity`].
     pub capacity: f64,
 }
 
@@ -105,8 +106,8 @@
 }
 
 impl WarmupBudget {
-    /// Begins a warm-up in debt. A random debt spreads the first attempts of all gateways over the
-    /// time in which they are due.
+    /// Begins a warm-up with a balance of `-debt`. A random debt spreads the first attempts of all
+    /// gateways over the time in which they are due.
     pub fn restart(&mut self, debt: f64, now: Ticks) {
         *self = WarmupBudget {
             balance: -debt,
@@ -114,7 +115,7 @@
         };
     }
 
-    /// Balance now; an attempt may start at 0 or more.
+    /// Balance at `now`, in ticks of work; an attempt may start at 0 or more.
     #[must_use]
     pub fn balance(
         &self,
@@ -132,8 +133,8 @@
         (self.balance + rate * (now - self.updated_at) as f64).min(burst)
     }
 
-    /// Charges an attempt that starts now; `balance` is `None` for a warm server, which is charged
-    /// nothing.
+    /// Charges the cost of an attempt that starts now, in ticks of work; `balance` is `None` for a
+    /// warm server, which is charged nothing.
     pub fn charge(&mut self, balance: Option<f64>, cost: f64, primary_only: bool, now: Ticks) {
         if let Some(balance) = balance {
             self.balance = balance
