--- a/crates/routing/tests/endpoint_lease.rs
+++ b/crates/routing/tests/endpoint_lease.rs
@@ -1,4 +1,5 @@
-//! When the lease of the endpoint list expires; what happens to requests then is in `traces.rs`.
+//! When the lease of the endpoint list expires. `traces/endpoints.rs` tests what happens to
+//! requests then.
 
 use leverpoint_routing::api::Ticks;
 use leverpoint_routing::endpoint_lease::EndpointLease;
--- a/crates/routing/tests/endpoint_watch.rs
+++ b/crates/routing/tests/endpoint_watch.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// The next call that begins, and when; calls abandoned before are counted.
+/// Advances the time to the next call that begins; returns the time, the identifier and the call,
+/// and counts the calls that are abandoned before in `abandoned`.
 fn next_call(
     watch: &mut EndpointWatch,
     mut now: Ticks,
@@ -73,12 +74,12 @@
 fn slow_answer_of_agent_is_used() {
     let mut watch = agent_watch();
     let (mut now, mut abandoned) = (0, 0);
-    let (_, first, _) = next_call(&mut watch, now, &mut abandoned);
+    let (_, first_id, _) = next_call(&mut watch, now, &mut abandoned);
     while now < 3_000 * MS {
         now = next_call(&mut watch, now, &mut abandoned).0;
     }
     let answer = full_list(8);
-    assert_eq!(watch.on_answered(first, now, answer), AnswerUse::Use);
+    assert_eq!(watch.on_answered(first_id, now, answer), AnswerUse::Use);
     assert_eq!(
         next_call(&mut watch, now, &mut abandoned).2,
         Call::Watch {
@@ -89,21 +90,24 @@
 }
 
 #[test]
-fn overdue_watch_of_agent_is_joined_by_call_for_full_list() {
+fn full_list_is_requested_while_watch_of_agent_is_overdue() {
     let mut watch = agent_watch();
     let mut abandoned = 0;
-    let (_, whole, _) = next_call(&mut watch, 0, &mut abandoned);
-    assert_eq!(watch.on_answered(whole, 10, full_list(8)), AnswerUse::Use);
-    let (began, watch_id, _) = next_call(&mut watch, 10, &mut abandoned);
-    let (late, second, call) = next_call(&mut watch, began, &mut abandoned);
-    assert_eq!((late - began, call), (GRACE / 2, Call::Full));
-    // The first answer is used and the other ignored.
+    let (_, full_list_id, _) = next_call(&mut watch, 0, &mut abandoned);
     assert_eq!(
-        watch.on_answered(watch_id, late + 1, changes(9)),
+        watch.on_answered(full_list_id, 10, full_list(8)),
         AnswerUse::Use
     );
+    let (began_at, watch_id, _) = next_call(&mut watch, 10, &mut abandoned);
+    let (second_at, second_id, call) = next_call(&mut watch, began_at, &mut abandoned);
+    assert_eq!((second_at - began_at, call), (GRACE / 2, Call::Full));
+    // The first answer is used, the later one is ignored.
     assert_eq!(
-        watch.on_answered(second, late + 2, full_list(8)),
+        watch.on_answered(watch_id, second_at + 1, changes(9)),
+        AnswerUse::Use
+    );
+    assert_eq!(
+        watch.on_answered(second_id, second_at + 2, full_list(8)),
         AnswerUse::Ignore
     );
     assert_eq!(watch.held_revision(), Some(9));
@@ -143,9 +147,9 @@
     now = until - 1;
     assert_eq!(watch.on_answered(id, now, changes(8)), AnswerUse::Use);
     // The watch continues, with a shorter timeout.
-    let (began, _, call) = next_call(&mut watch, now, &mut abandoned);
+    let (began_at, _, call) = next_call(&mut watch, now, &mut abandoned);
     assert_eq!(
-        (began, call),
+        (began_at, call),
         (
             now,
             Call::Watch {
@@ -157,7 +161,7 @@
     let WatchAction::Wait { until } = watch.next_action(now) else {
         panic!("a second call")
     };
-    assert_eq!(until - began, 2_500 * MS);
+    assert_eq!(until - began_at, 2_500 * MS);
     assert_eq!(abandoned, 0);
 }
 
@@ -183,13 +187,14 @@
         }
         delays
     };
-    let all: Vec<_> = (0..100).map(delays).collect();
+    let delays_by_seed: Vec<_> = (0..100).map(delays).collect();
     for (attempt, mean) in [(1, 500), (2, 1_000), (3, 2_000), (5, 2_000)] {
-        let of = all.iter().map(|delays| delays[attempt]);
+        let delays_of_attempt = delays_by_seed.iter().map(|delays| delays[attempt]);
         assert!(
-            of.clone().min() >= Some(mean * MS / 2) && of.clone().max() <= Some(mean * MS * 3 / 2)
+            delays_of_attempt.clone().min() >= Some(mean * MS / 2)
+                && delays_of_attempt.clone().max() <= Some(mean * MS * 3 / 2)
         );
-        let mut distinct: Vec<_> = of.collect();
+        let mut distinct: Vec<_> = delays_of_attempt.collect();
         distinct.sort_unstable();
         distinct.dedup();
         assert!(distinct.len() > 90, "{} different delays", distinct.len());
@@ -211,7 +216,7 @@
 #[test]
 fn move_of_discovery_drops_calls_and_starts_one_at_once() {
     let mut abandoned = 0;
-    for (mut watch, first) in [
+    for (mut watch, first_call) in [
         (agent_watch(), Call::Full),
         (
             shared_watch(1),
@@ -221,18 +226,21 @@
             },
         ),
     ] {
-        let (_, old, _) = next_call(&mut watch, 0, &mut abandoned);
-        watch.on_failed(old, 10, Failure::Refused);
+        let (_, old_id, _) = next_call(&mut watch, 0, &mut abandoned);
+        watch.on_failed(old_id, 10, Failure::Refused);
         watch.on_discovery_moved();
-        let (at, new, call) = next_call(&mut watch, 20, &mut abandoned);
-        assert_eq!((at, call), (20, first));
-        assert_eq!(watch.on_answered(old, 30, full_list(9)), AnswerUse::Ignore);
-        assert_eq!(watch.on_answered(new, 30, full_list(9)), AnswerUse::Use);
+        let (at, new_id, call) = next_call(&mut watch, 20, &mut abandoned);
+        assert_eq!((at, call), (20, first_call));
+        assert_eq!(
+            watch.on_answered(old_id, 30, full_list(9)),
+            AnswerUse::Ignore
+        );
+        assert_eq!(watch.on_answered(new_id, 30, full_list(9)), AnswerUse::Use);
     }
 }
 
 #[test]
-fn only_stalled_answer_is_joined_by_another_call() {
+fn second_call_begins_only_beside_stalled_answer() {
     let mut watch = agent_watch();
     let mut abandoned = 0;
     let (_, id, _) = next_call(&mut watch, 0, &mut abandoned);
@@ -243,28 +251,31 @@
             "a call beside one whose answer progresses"
         );
     }
-    let stopped = 1_450 * MS;
-    let (at, _, call) = next_call(&mut watch, stopped, &mut abandoned);
-    assert_eq!((at, call), (stopped + GRACE / 4, Call::Full));
+    let stalled_at = 1_450 * MS;
+    let (at, _, call) = next_call(&mut watch, stalled_at, &mut abandoned);
+    assert_eq!((at, call), (stalled_at + GRACE / 4, Call::Full));
     assert_eq!(abandoned, 0);
 }
 
 #[test]
 fn agent_that_fails_or_answers_at_once_is_not_called_in_a_busy_loop() {
-    for breaks in [true, false] {
+    for fails in [true, false] {
         let mut watch = agent_watch();
-        let (mut now, mut abandoned, mut begun) = (0, 0, 0);
+        let (mut now, mut abandoned, mut calls_begun) = (0, 0, 0);
         while now < 10_000 * MS {
             let (at, id, call) = next_call(&mut watch, now, &mut abandoned);
-            (now, begun) = (at, begun + 1);
+            (now, calls_begun) = (at, calls_begun + 1);
             match call {
-                Call::Watch { .. } if breaks => drop(watch.on_failed(id, now, Failure::Broken)),
+                Call::Watch { .. } if fails => drop(watch.on_failed(id, now, Failure::Broken)),
                 Call::Full => drop(watch.on_answered(id, now, full_list(8))),
                 Call::Watch { .. } => drop(watch.on_answered(id, now, changes(8))),
             }
         }
-        // The first list is newer than none, so one call comes right behind it.
-        assert!(begun <= 10_000 / 20 + 2, "{begun} calls in 10 s");
+        // The first list is newer than none, so the next call follows it at once.
+        assert!(
+            calls_begun <= 10_000 / 20 + 2,
+            "{calls_begun} calls in 10 s"
+        );
     }
 }
 
@@ -278,10 +289,10 @@
         FailureEvidence::Refused
     );
     let (at, id, _) = next_call(&mut watch, at, &mut abandoned);
-    let late = FailureEvidence::Unreachable { ago: 2_000 * MS };
+    let late_refusal = FailureEvidence::Unreachable { ago: 2_000 * MS };
     assert_eq!(
         watch.on_failed(id, at + 2_000 * MS, Failure::Refused),
-        late,
+        late_refusal,
         "a proxy has waited for discovery"
     );
     let (at, id, _) = next_call(&mut watch, at, &mut abandoned);
@@ -299,54 +310,60 @@
     );
 }
 
-/// A discovery of fixed capacity, in steps of a millisecond, with the queue that the protocol
-/// describes.
-struct Service {
-    call: Ticks,
-    refusal: Ticks,
+/// Model of a discovery of fixed capacity, in steps of a millisecond, with the queue that the
+/// protocol describes.
+struct DiscoveryModel {
+    /// Time that it takes to answer a call.
+    call_time: Ticks,
+    /// Time that it takes to refuse a call.
+    refusal_time: Ticks,
     busy_until: Ticks,
-    /// Time of the answer, gateway, call.
+    /// Time of the answer, index of the gateway and identifier of the call.
     queue: VecDeque<(Ticks, usize, u64)>,
 }
 
-/// Time until all of these gateways are answered whose watches end at once, by a discovery that
-/// takes `capacity` to answer one call of each.
-fn time_until_all_answered(gateways: usize, capacity: Ticks, seed: u64) -> Ticks {
-    let call = capacity / gateways as Ticks;
-    let mut service = Service {
-        call,
-        refusal: call / 20,
+/// Time until all gateways are answered after their watches have ended at the same time, by a
+/// discovery that takes `total_call_time` to answer one call of each.
+fn time_until_all_answered(gateways: usize, total_call_time: Ticks, seed: u64) -> Ticks {
+    let call_time = total_call_time / gateways as Ticks;
+    let mut discovery = DiscoveryModel {
+        call_time,
+        refusal_time: call_time / 20,
         busy_until: 0,
         queue: VecDeque::new(),
     };
-    let mut all: Vec<_> = (0..gateways)
+    let mut watches: Vec<_> = (0..gateways)
         .map(|n| shared_watch(seed * 1000 + n as u64))
         .collect();
     let mut answered = vec![false; gateways];
     for now in (0..120_000 * MS).step_by(MS as usize) {
-        while let Some((_, n, id)) = service.queue.pop_front_if(|(at, _, _)| *at <= now) {
+        while let Some((_, n, id)) = discovery.queue.pop_front_if(|(at, _, _)| *at <= now) {
             // Discovery answers abandoned calls as well.
-            if all[n].on_answered(id, now, changes(8)) == AnswerUse::Use {
+            if watches[n].on_answered(id, now, changes(8)) == AnswerUse::Use {
                 answered[n] = true;
             }
         }
         if answered.iter().all(|done| *done) {
             return now;
         }
-        for (n, watch) in all.iter_mut().enumerate().filter(|(n, _)| !answered[*n]) {
+        for (n, watch) in watches
+            .iter_mut()
+            .enumerate()
+            .filter(|(n, _)| !answered[*n])
+        {
             loop {
                 let id = match watch.next_action(now) {
                     WatchAction::Begin { id, .. } => id,
                     WatchAction::Abandon { .. } => continue,
                     WatchAction::Wait { .. } => break,
                 };
-                let begins = service.busy_until.max(now);
-                if begins - now > 2_000 * MS {
-                    service.busy_until = begins + service.refusal;
+                let begins_at = discovery.busy_until.max(now);
+                if begins_at - now > 2_000 * MS {
+                    discovery.busy_until = begins_at + discovery.refusal_time;
                     watch.on_failed(id, now, Failure::Refused);
                 } else {
-                    service.busy_until = begins + service.call;
-                    service.queue.push_back((service.busy_until, n, id));
+                    discovery.busy_until = begins_at + discovery.call_time;
+                    discovery.queue.push_back((discovery.busy_until, n, id));
                 }
             }
         }
@@ -356,19 +373,19 @@
 
 #[test]
 fn fleet_recovers_at_nearly_the_capacity_of_discovery() {
-    for (gateways, capacity) in [
+    for (gateways, total_call_time) in [
         (12, 2_000 * MS),
         (40, 5_000 * MS),
         (300, 8_000 * MS),
         (900, 8_000 * MS),
     ] {
         for seed in 0..5 {
-            let last = time_until_all_answered(gateways, capacity, seed);
+            let recovered_at = time_until_all_answered(gateways, total_call_time, seed);
             assert!(
-                last <= capacity * 7 / 4,
+                recovered_at <= total_call_time * 7 / 4,
                 "{gateways} gateways, seed {seed}: {} ms where {} would do",
-                last / MS,
-                capacity / MS
+                recovered_at / MS,
+                total_call_time / MS
             );
         }
     }
--- a/crates/routing/tests/interning.rs
+++ b/crates/routing/tests/interning.rs
@@ -1,9 +1,9 @@
-//! Indices of identifiers, and when a session keeps its own.
+//! Assignment of indices to identifiers, and how long a session keeps its index.
 
 use leverpoint_routing::api::{AttemptOutcome, ServerReport};
 use leverpoint_routing::interning::{Indices, RequestUsage, Sessions};
 
-fn write_of(session: usize) -> RequestUsage {
+fn write_in_session(session: usize) -> RequestUsage {
     RequestUsage {
         write: true,
         session: Some(session),
@@ -37,9 +37,9 @@
     let mut sessions = Sessions::default();
     let session = sessions.index_for_write("writer");
     sessions.index_for_write("writer");
-    sessions.on_request_finished(&write_of(session));
+    sessions.on_request_finished(&write_in_session(session));
     assert_eq!(sessions.index_for_read("writer"), session);
-    sessions.on_request_finished(&write_of(session));
+    sessions.on_request_finished(&write_in_session(session));
     assert_eq!(sessions.index_for_read("writer"), 0);
 }
 
@@ -51,7 +51,7 @@
         primary: true,
         position: Some(5),
     };
-    let write = write_of(session);
+    let write = write_in_session(session);
     sessions.on_attempt_finished(&write, AttemptOutcome::Answered, Some(report));
     sessions.on_request_finished(&write);
     assert_eq!(sessions.index_for_read("writer"), session);
--- a/crates/routing/tests/latency.rs
+++ b/crates/routing/tests/latency.rs
@@ -3,7 +3,7 @@
 use leverpoint_routing::api::{Consistency, Idempotency, MILLISECOND, RequestClass};
 use leverpoint_routing::latency::{ClassLatency, Histogram, TimeLeft};
 
-fn class() -> ClassLatency {
+fn any_read_class() -> ClassLatency {
     ClassLatency::new(RequestClass {
         consistency: Consistency::Any,
         idempotency: Idempotency::Idempotent,
@@ -45,25 +45,25 @@
 
 #[test]
 fn typical_latency_starts_at_a_quarter_of_the_objective_and_follows_the_answers() {
-    let mut class = class();
+    let mut class = any_read_class();
     assert_eq!(class.typical(), 100 * MILLISECOND);
     (0..20).for_each(|_| class.record(20 * MILLISECOND));
     assert_eq!(class.typical(), 20 * MILLISECOND);
 }
 
 #[test]
-fn attempt_timeout_lies_between_half_and_all_of_the_time_to_the_objective() {
-    let mut class = class();
-    let left = TimeLeft {
+fn attempt_timeout_is_between_half_and_all_of_the_time_to_the_objective() {
+    let mut class = any_read_class();
+    let time_left = TimeLeft {
         to_objective: 400 * MILLISECOND,
         to_deadline: 2000 * MILLISECOND,
     };
-    assert_eq!(class.attempt_timeout(left, 0), 400 * MILLISECOND);
+    assert_eq!(class.attempt_timeout(time_left, 0), 400 * MILLISECOND);
     (0..200).for_each(|_| class.record(20 * MILLISECOND));
-    assert_eq!(class.attempt_timeout(left, 0), 200 * MILLISECOND);
-    let short = TimeLeft {
+    assert_eq!(class.attempt_timeout(time_left, 0), 200 * MILLISECOND);
+    let short_time_left = TimeLeft {
         to_deadline: 50 * MILLISECOND,
-        ..left
+        ..time_left
     };
-    assert_eq!(class.attempt_timeout(short, 0), 50 * MILLISECOND);
+    assert_eq!(class.attempt_timeout(short_time_left, 0), 50 * MILLISECOND);
 }
--- a/crates/routing/tests/outlier_detection.rs
+++ b/crates/routing/tests/outlier_detection.rs
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn timeouts_count_as_silence_only_over_a_second() {
+fn timeouts_count_as_silence_only_after_a_second() {
     let mut health = ServerHealth::new(NOW);
     health.on_attempt_started(NOW);
-    let mut times_out = |now| health.on_unanswered(AttemptOutcome::TimedOut, 0, now);
-    assert!(!times_out(NOW + SECOND / 3));
-    assert!(!times_out(NOW + SECOND / 3));
-    assert!(!times_out(NOW + SECOND - 1));
-    assert!(times_out(NOW + SECOND));
+    let mut on_timeout = |now| health.on_unanswered(AttemptOutcome::TimedOut, 0, now);
+    assert!(!on_timeout(NOW + SECOND / 3));
+    assert!(!on_timeout(NOW + SECOND / 3));
+    assert!(!on_timeout(NOW + SECOND - 1));
+    assert!(on_timeout(NOW + SECOND));
 }
 
 #[test]
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn server_fails_with_an_error_for_less_than_two_answers() {
+fn server_is_failing_with_more_than_one_error_per_two_answers() {
     let mut health = ServerHealth::new(NOW);
     (0..6).for_each(|_| health.on_answer());
     (0..3).for_each(|_| health.on_error());
--- a/crates/routing/tests/primary_tracking.rs
+++ b/crates/routing/tests/primary_tracking.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn time_of_the_last_report_outlives_the_primary() {
+fn clearing_the_primary_keeps_the_time_of_its_last_report() {
     let mut primary = KnownPrimary::default();
     primary.report(2, NOW);
     primary.clear();
--- a/crates/routing/tests/recent_outcomes.rs
+++ b/crates/routing/tests/recent_outcomes.rs
@@ -1,4 +1,4 @@
-//! Shares of late attempts, and shortage.
+//! Shares of late attempts, and the shortage that they indicate.
 
 use leverpoint_routing::primary_tracking::Role;
 use leverpoint_routing::recent_outcomes::RecentOutcomes;
--- a/crates/routing/tests/replica_position.rs
+++ b/crates/routing/tests/replica_position.rs
@@ -15,18 +15,18 @@
 fn believed_lag_is_kept_for_two_seconds_and_halves_then() {
     let mut position = ReplicaPosition::default();
     position.on_report(Some(NOW - 4 * SECOND));
-    let lag = |later: Ticks| {
-        let now = NOW + later;
+    let believed_lag = |elapsed: Ticks| {
+        let now = NOW + elapsed;
         now - position.believed(Some(NOW), now)
     };
-    assert_eq!(lag(0), 4 * SECOND);
-    assert_eq!(lag(2 * SECOND - 1), 4 * SECOND);
-    assert_eq!(lag(2 * SECOND), 2 * SECOND);
-    assert_eq!(lag(4 * SECOND), SECOND);
+    assert_eq!(believed_lag(0), 4 * SECOND);
+    assert_eq!(believed_lag(2 * SECOND - 1), 4 * SECOND);
+    assert_eq!(believed_lag(2 * SECOND), 2 * SECOND);
+    assert_eq!(believed_lag(4 * SECOND), SECOND);
 }
 
 #[test]
-fn believed_position_never_lies_before_the_reported_one() {
+fn believed_position_is_never_before_the_reported_one() {
     let mut position = ReplicaPosition::default();
     position.on_report(Some(NOW));
     position.on_report(Some(NOW - SECOND));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn replica_that_held_a_read_in_vain_is_stale_for_five_seconds() {
+fn replica_whose_hold_expired_is_stale_for_five_seconds() {
     let mut position = ReplicaPosition::default();
     position.on_hold_expired(NOW);
     assert!(position.is_stale(NOW + 5 * SECOND - 1) && !position.is_stale(NOW + 5 * SECOND));
--- a/crates/routing/tests/request_state.rs
+++ b/crates/routing/tests/request_state.rs
@@ -2,7 +2,7 @@
 
 use leverpoint_routing::request_state::{Effect, Phase, RequestEvent, next};
 
-fn follow(events: &[RequestEvent]) -> (Phase, Vec<Effect>) {
+fn apply_events(events: &[RequestEvent]) -> (Phase, Vec<Effect>) {
     let mut phase = Phase::New;
     let mut effects = Vec::new();
     for &event in events {
@@ -15,7 +15,7 @@
 
 #[test]
 fn failed_attempt_leads_to_a_retry() {
-    let (phase, effects) = follow(&[
+    let (phase, effects) = apply_events(&[
         RequestEvent::Arrived,
         RequestEvent::Dequeued,
         RequestEvent::AttemptStarted,
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn request_without_capacity_waits_and_is_selected_for_again() {
-    let (phase, effects) = follow(&[
+fn request_without_capacity_waits_and_is_dequeued_again() {
+    let (phase, effects) = apply_events(&[
         RequestEvent::Arrived,
         RequestEvent::Dequeued,
         RequestEvent::NoCapacity,
--- a/crates/routing/tests/session_positions.rs
+++ b/crates/routing/tests/session_positions.rs
@@ -42,7 +42,8 @@
     assert_eq!(sessions.expire(200), [0]);
 }
 
-/// Between a write's row and its position no position was required.
+/// Guards against reads that require no position between the answer to a write and the report of
+/// its position, and so may miss the write.
 #[test]
 fn answered_write_requires_an_unreported_position_until_all_are_reported() {
     let mut sessions = SessionPositions::default();
--- a/crates/routing/tests/slow_start.rs
+++ b/crates/routing/tests/slow_start.rs
@@ -25,11 +25,11 @@
 
 #[test]
 fn capacity_grows_linearly_until_the_server_is_warm() {
-    let capacity = |age| warming_capacity(&protection(), START, START + age);
-    assert_eq!(capacity(0), Some(0.2));
-    let halfway = capacity(5_000 * MILLISECOND).expect("still warming up");
+    let capacity_at_age = |age| warming_capacity(&protection(), START, START + age);
+    assert_eq!(capacity_at_age(0), Some(0.2));
+    let halfway = capacity_at_age(5_000 * MILLISECOND).expect("still warming up");
     assert!((halfway - 0.6).abs() < 1e-9);
-    assert_eq!(capacity(10_000 * MILLISECOND), None);
+    assert_eq!(capacity_at_age(10_000 * MILLISECOND), None);
     assert_eq!(warming_capacity(&protection(), 0, START), None);
 }
 
@@ -40,11 +40,11 @@
     assert_eq!(throughput.per_tick(), 0.5);
     let mut budget = WarmupBudget::default();
     budget.restart(120.0, START);
-    let balance = |now| budget.balance(&protection(), &throughput, SERVER, now);
-    assert_eq!(balance(START), -120.0);
+    let balance_at = |now| budget.balance(&protection(), &throughput, SERVER, now);
+    assert_eq!(balance_at(START), -120.0);
     // 0.5 per tick, times the capacity, times 0.6 of the overload multiple.
-    assert!((balance(START + 500) - -60.0).abs() < 1e-6);
-    assert!(balance(START + 1_001) > 0.0);
+    assert!((balance_at(START + 500) - -60.0).abs() < 1e-6);
+    assert!(balance_at(START + 1_001) > 0.0);
 }
 
 #[test]
@@ -58,13 +58,13 @@
 
 #[test]
 fn attempt_that_only_the_primary_may_answer_is_charged_less() {
-    let charged = |primary_only| {
+    let balance_after_charge = |primary_only| {
         let mut throughput = WarmThroughput::default();
         throughput.record(10_000.0);
         let mut budget = WarmupBudget::default();
         budget.charge(Some(0.0), 100.0, primary_only, START);
         budget.balance(&protection(), &throughput, SERVER, START)
     };
-    assert_eq!(charged(false), -100.0);
-    assert_eq!(charged(true), -60.0);
+    assert_eq!(balance_after_charge(false), -100.0);
+    assert_eq!(balance_after_charge(true), -60.0);
 }
--- a/crates/routing/tests/tenant_quotas.rs
+++ b/crates/routing/tests/tenant_quotas.rs
@@ -5,11 +5,11 @@
 
 #[test]
 fn only_the_excess_over_a_quota_is_marked() {
-    let tenant = |quota_share| Tenant {
+    let tenant_with_share = |quota_share| Tenant {
         requests_per_second: 10.0,
         quota_share,
     };
-    let mut quotas = TenantQuotas::new(vec![tenant(0.5), tenant(0.5)]);
+    let mut quotas = TenantQuotas::new(vec![tenant_with_share(0.5), tenant_with_share(0.5)]);
     let mut rng = fastrand::Rng::with_seed(1);
     let mut marked = [0, 0];
     for request in 0..4000 {
@@ -17,7 +17,7 @@
         marked[index] += i32::from(quotas.record_arrival(index, &mut rng));
     }
     // Three quarters of the requests are the first tenant's, whose share is a half: a third of them
-    // is in excess.
+    // exceeds it.
     assert!((900..1100).contains(&marked[0]), "{marked:?}");
     assert!(marked[1] < 10, "{marked:?}");
 }
--- a/crates/routing/tests/traces/main.rs
+++ b/crates/routing/tests/traces/main.rs
@@ -1,4 +1,5 @@
-//! Snapshots of short traces of routing decisions.
+//! Snapshots of traces of routing decisions: the events of a short scenario and the router's
+//! actions.
 
 mod endpoints;
 mod primary;
--- a/crates/routing/tests/traces/router_trace.rs
+++ b/crates/routing/tests/traces/router_trace.rs
@@ -1,4 +1,5 @@
-//! Drives a [`Router`] through events and records its actions as a trace, one a line.
+//! Passes events to a [`Router`] and records them and the resulting actions as a trace, one per
+//! line.
 
 use std::fmt::Write;
 
@@ -7,7 +8,7 @@
 
 pub(crate) const MS: Ticks = 10;
 
-/// Indices of the request classes of [`config`].
+/// Indices of the request classes of [`default_config`].
 pub(crate) const ANY_READ: usize = 0;
 pub(crate) const BOUNDED_READ: usize = 1;
 pub(crate) const SESSION_READ: usize = 2;
@@ -17,7 +18,7 @@
 /// The session that tests use.
 pub(crate) const SESSION: usize = 9;
 
-/// A router with the trace of what went in and came out.
+/// A router with the trace of its events and actions.
 pub(crate) struct RouterTrace {
     pub router: Router,
     pub now: Ticks,
@@ -25,19 +26,21 @@
     pub client_retry: bool,
     /// How long clients wait.
     pub client_timeout: Ticks,
-    /// Position that requests require beside what the router remembers.
+    /// Position that requests carry, beside the one that the router remembers.
     pub required_position: Option<Ticks>,
     /// Until when reads wait for a replica.
     pub wait_for_replica_until: Ticks,
-    /// How long attempts take.
+    /// Time that attempts are reported to have taken.
     pub elapsed: Ticks,
     actions: Vec<Action>,
     trace: String,
+    /// Request and server of each attempt.
     attempts: Vec<(usize, usize)>,
 }
 
-/// A gateway of two, in front of replicas that reject reads they are too far behind for.
-pub(crate) fn config() -> RoutingConfig {
+/// Configuration of one of two gateways, in front of replicas that reject reads whose required
+/// position they have not reached.
+pub(crate) fn default_config() -> RoutingConfig {
     RoutingConfig {
         seed: 7,
         gateway_index: 0,
@@ -142,33 +145,36 @@
         }
     }
 
-    /// Servers 0 to 3, where 0 is the primary and the list says so.
-    pub(crate) fn with_set(config: RoutingConfig) -> Self {
+    /// A router with the servers 0 to 3, of which the list names 0 the primary.
+    pub(crate) fn with_replica_set(config: RoutingConfig) -> Self {
         let mut router = RouterTrace::new(config);
         let endpoints: Vec<_> = (0..4)
             .map(|s| endpoint(s, EndpointState::Ready, s == 0, 0))
             .collect();
-        router.list(EndpointUpdate::Restored, &endpoints);
+        router.update_endpoints(EndpointUpdate::Restored, &endpoints);
         router
     }
 
-    pub(crate) fn list(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
+    pub(crate) fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
         let listed: Vec<_> = endpoints
             .iter()
-            .map(|l| format!("{} {:?}", l.server, l.state))
+            .map(|e| format!("{} {:?}", e.server, e.state))
             .collect();
-        self.take(
+        self.handle_event(
             &format!("list {update:?}: {}", listed.join(", ")),
             &Event::Endpoints(update, endpoints),
         );
     }
 
-    /// A call to discovery has ended.
-    pub(crate) fn discovery(&mut self, reply: DiscoveryOutcome) {
-        self.take(&format!("discovery: {reply:?}"), &Event::Discovery(reply));
+    /// Ends a call to discovery.
+    pub(crate) fn finish_discovery_call(&mut self, outcome: DiscoveryOutcome) {
+        self.handle_event(
+            &format!("discovery: {outcome:?}"),
+            &Event::Discovery(outcome),
+        );
     }
 
-    pub(crate) fn arrive(&mut self, request: usize, class: usize, session: Option<usize>) {
+    pub(crate) fn send_request(&mut self, request: usize, class: usize, session: Option<usize>) {
         let deadline = self.now + self.client_timeout;
         let arrived = Request {
             request,
@@ -182,7 +188,7 @@
             client_retry: self.client_retry,
             first_attempt_elsewhere: None,
         };
-        self.take(
+        self.handle_event(
             &format!("request {request} of class {class}"),
             &Event::RequestArrived(arrived),
         );
@@ -198,7 +204,8 @@
             .expect("an attempt was started")
     }
 
-    /// `report`: whether the server says it is the primary, and how long ago its position lies.
+    /// Ends an attempt of a request. `report` is whether the server reports to be the primary, and
+    /// the age of its replication position.
     pub(crate) fn finish_attempt(
         &mut self,
         request: usize,
@@ -211,63 +218,63 @@
             position: Some(self.now - age),
         });
         let server = self.server_of(request);
-        let over = outcome == AttemptOutcome::Answered;
-        let end = FinishedAttempt {
+        let answered = outcome == AttemptOutcome::Answered;
+        let finished = FinishedAttempt {
             request,
             attempt,
             server,
             outcome,
             elapsed: self.elapsed,
-            request_finished: over,
+            request_finished: answered,
             report,
         };
-        self.take(
+        self.handle_event(
             &format!("attempt {request}.{attempt} at {server}: {outcome:?}"),
-            &Event::AttemptFinished(end),
+            &Event::AttemptFinished(finished),
         );
     }
 
-    pub(crate) fn disconnect(&mut self, request: usize) {
-        self.take(
+    pub(crate) fn disconnect_client(&mut self, request: usize) {
+        self.handle_event(
             &format!("request {request}: client disconnected"),
             &Event::ClientDisconnected(request),
         );
     }
 
-    /// Another gateway announces that this server has just reported to be the primary.
+    /// Announces, as another gateway, that this server has just reported to be the primary.
     pub(crate) fn announce_primary(&mut self, server: usize) {
         let announcement = PrimaryAnnouncement {
             server,
             at: self.now,
         };
-        self.take(
+        self.handle_event(
             &format!("primary {server} announced"),
             &Event::PrimariesAnnounced(&[announcement]),
         );
     }
 
-    /// The gateway shuts down and ends all requests after this time.
-    pub(crate) fn shut_down_in(&mut self, left: Ticks) {
-        let at = self.now + left;
-        self.take(
-            &format!("shutdown in {} ms", left / MS),
+    /// Schedules the gateway's shutdown, which ends all requests, after this time.
+    pub(crate) fn shut_down_in(&mut self, time_left: Ticks) {
+        let at = self.now + time_left;
+        self.handle_event(
+            &format!("shutdown in {} ms", time_left / MS),
             &Event::ShutdownScheduled(at),
         );
     }
 
-    /// Advances the time, with an expired timer every 10 ms.
+    /// Advances the time, and lets the timer expire every 10 ms.
     pub(crate) fn advance_ms(&mut self, ms: Ticks) {
         for _ in 0..ms / 10 {
             self.now += 10 * MS;
-            self.take("", &Event::TimerExpired(0));
+            self.handle_event("", &Event::TimerExpired(0));
         }
     }
 
-    fn take(&mut self, what: &str, input: &Event<'_>) {
-        self.router.handle(self.now, input, &mut self.actions);
+    fn handle_event(&mut self, description: &str, event: &Event<'_>) {
+        self.router.handle(self.now, event, &mut self.actions);
         let at = self.now / MS - 100_000;
-        if !what.is_empty() {
-            writeln!(self.trace, "{at:>5} ms  {what}").unwrap();
+        if !description.is_empty() {
+            writeln!(self.trace, "{at:>5} ms  {description}").unwrap();
         }
         for action in self.actions.drain(..) {
             let text = match action {
@@ -295,7 +302,8 @@
         }
     }
 
-    pub(crate) fn trace(&mut self) -> String {
+    /// Returns the trace recorded since the last call.
+    pub(crate) fn take_trace(&mut self) -> String {
         std::mem::take(&mut self.trace)
     }
 }
