--- a/crates/routing/src/request_state.rs
+++ b/crates/routing/src/request_state.rs
@@ -125,7 +125,7 @@
     pub(crate) attempts: AttemptHistory,
 }
 
-/// Arrival time and deadlines of a request.
+/// When a request arrived, and its deadlines.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RequestTiming {
     pub(crate) arrived_at: Ticks,
