--- a/crates/peer-transport/src/replication_runtime.rs
+++ b/crates/peer-transport/src/replication_runtime.rs
@@ -86,7 +86,7 @@
             LocalMember {
                 name: info.name.clone(),
                 incarnation: info.incarnation.number,
-                memory: info.incarnation.storage_id,
+                storage_id: info.incarnation.storage_id,
             }
         });
         let started_unix = unix();
@@ -325,10 +325,12 @@
 
     fn on_incarnation_seen(self: Rc<Self>, name: &str, incarnation: Incarnation) {
         let Incarnation { number, storage_id } = incarnation;
-        let actions =
-            self.replicator
-                .borrow_mut()
-                .on_member_seen(self.now(), name, number, storage_id);
+        let actions = self.replicator.borrow_mut().on_incarnation_observed(
+            self.now(),
+            name,
+            number,
+            storage_id,
+        );
         self.perform(actions);
     }
 
