--- a/crates/replication/src/action.rs
+++ b/crates/replication/src/action.rs
@@ -1,4 +1,6 @@
-//! What a member of the replicated state asks its runtime to do, and the results it hands back.
+//! Actions that the replication state machine returns to its runtime, and the results they carry.
+//!
+//! The package does no I/O: [`crate::Replicator`] returns [`Action`]s, and the runtime sends, persists and reports.
 
 use leverpoint_membership::layout::Layout;
 use serde::{Deserialize, Serialize};
@@ -8,68 +10,72 @@
 use crate::message::Envelope;
 use crate::record::Record;
 
-/// The member that this process is.
+/// Identity of the member that runs in this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalMember {
-    /// Its name in the layout.
+    /// Member name, as layouts list it.
     pub name: String,
-    /// The incarnation of the process.
+    /// Incarnation number; a restarted process has a higher one.
     pub incarnation: u64,
-    /// The number of the durable state that it holds.
+    /// Id of the member's durable storage; a member that lost its disk starts with a new id.
     pub storage_id: u64,
 }
 
-/// What outlives the process beside its records.
+/// Metadata that is persisted beside the records and restored after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedMetadata {
-    /// What lies before it may be missing among the records.
+    /// Records last touched before this time may be missing from the persisted records.
     pub low_watermark: Ticks,
-    /// The layouts in force, oldest first.
+    /// Layouts in force, oldest first.
     pub layouts: Vec<Layout>,
 }
 
-/// The result of a write or a read.
+/// Result of a write or read that the runtime has begun.
+///
+/// Each result names the operation by its ticket, a number that the runtime assigns when it begins the operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// A quorum has the write: it may be sent to the database, unless its key decides otherwise.
+    /// A quorum has acknowledged the write; it may be sent to the database if `decision` permits it.
     QuorumAcknowledged {
-        /// The ticket of the write.
+        /// Ticket of the write.
         ticket: u64,
-        /// What its idempotency key decides.
+        /// Decision by the known attempts of the write's idempotency key.
         decision: IdempotencyDecision,
     },
-    /// The write may be sent; no quorum has it, and no read quorum relies on this member.
+    /// The write may be sent although no quorum has acknowledged it: no read quorum counts on this member to replicate
+    /// its writes any more.
     WithoutQuorum {
-        /// The ticket of the write.
+        /// Ticket of the write.
         ticket: u64,
     },
-    /// The write may not be sent yet: others still rely on a quorum that can't be had.
+    /// The write must not be sent: no quorum can be reached, and read quorums may still count on this member to
+    /// replicate its writes.
     Rejected {
-        /// The ticket of the write.
+        /// Ticket of the write.
         ticket: u64,
-        /// After how long another attempt may succeed.
+        /// Time after which another attempt may succeed.
         retry_after: Ticks,
     },
-    /// The position that a session's read requires.
+    /// Replication position that a session's read requires.
     SessionPosition {
-        /// The ticket of the read.
+        /// Ticket of the read.
         ticket: u64,
-        /// None where it is not known exactly: the read requires the present.
+        /// `None` if it is not known exactly; the read then has to see every write up to the present.
         position: Option<Ticks>,
     },
-    /// A record that was read.
+    /// Result of a read of one record.
     RecordRead {
-        /// The ticket of the read.
+        /// Ticket of the read.
         ticket: u64,
-        /// What is known of it.
+        /// Merge of all replies, if any replica has the record.
         record: Option<Record>,
-        /// Whether a quorum has answered.
+        /// Whether a quorum has replied; otherwise acknowledged writes may be missing from `record`.
         exact: bool,
     },
 }
 
 impl Completion {
-    /// The ticket of the write or read that it completes.
+    /// Ticket of the completed write or read.
     #[must_use]
     pub fn ticket(&self) -> u64 {
         match self {
@@ -82,22 +88,22 @@
     }
 }
 
-/// Why no quorum of replicas has told the position of a session.
+/// Why the position of a session could not be read from a quorum.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum InexactReadCause {
     /// The layouts in force are not known.
     LayoutsUnknown,
-    /// Replicas can't account for a member, which may be answering without a quorum; those that this member can't
-    /// account for either.
+    /// Replicas have no valid lease from some member, which may be serving without a quorum. Lists the members that
+    /// this member has no valid lease from either.
     MembersUnaccounted(Vec<String>),
-    /// These replicas have not replied within the read's time.
+    /// These replicas have not replied before the read's deadline.
     RepliesLate(Vec<String>),
-    /// Too few replicas can be asked.
+    /// Fewer replicas than a quorum are reachable.
     ReplicasUnreachable,
 }
 
 impl InexactReadCause {
-    /// The cause as it is logged.
+    /// Text of the cause in log lines.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -108,7 +114,7 @@
         }
     }
 
-    /// The members that the cause is about.
+    /// Members that the cause names; empty for causes without members.
     #[must_use]
     pub fn members(&self) -> &[String] {
         match self {
@@ -120,50 +126,51 @@
     }
 }
 
-/// A change that operators are told of.
+/// State change that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReplicationEvent {
-    /// Older layouts are superseded; the newest is in force alone.
+    /// Older layouts are superseded; only the newest is in force.
     LayoutsConverged {
-        /// Its version.
+        /// Version of the newest layout.
         layout_version: u64,
     },
     /// More replicas were lost than the replication factor allows.
     DataLost {
-        /// What was acknowledged up to then may be lost.
+        /// Writes acknowledged up to this time may be lost.
         until: Ticks,
     },
-    /// Too few replicas are in touch: writes are answered without a quorum.
+    /// Too few replicas are reachable; writes are served without a quorum.
     QuorumLost,
-    /// Enough replicas are in touch again.
+    /// Enough replicas are reachable again; writes are acknowledged by a quorum.
     QuorumRestored,
-    /// The disk persists nothing any more.
+    /// The store has failed; nothing is persisted until the process is restarted.
     DiskFailed,
-    /// A session's read requires the present; reported at most once a lease.
+    /// A session's position could not be read exactly; reported at most once per lease duration.
     ReadInexact(InexactReadCause),
 }
 
-/// What the runtime is asked to do.
+/// Action that the runtime carries out, in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Sends a message to a member.
+    /// Sends a message to another member.
     Send {
-        /// The member's name.
+        /// Name of the receiving member.
         to: String,
-        /// The message.
+        /// Message with its sender.
         envelope: Box<Envelope>,
     },
-    /// Persists these, then calls `on_persisted` with the sequence number, or `on_persist_failed`.
+    /// Persists records and metadata, then calls [`crate::Replicator::on_persisted`] with the sequence number, or
+    /// [`crate::Replicator::on_persist_failed`].
     Persist {
-        /// Rises with each such action.
+        /// Sequence number, which increases by one with each persist action.
         sequence: u64,
-        /// The records, as they are held.
+        /// Records, in the merged state that the store holds.
         records: Vec<Record>,
-        /// The metadata, where it has changed.
+        /// Metadata, if it has changed since the last persist action.
         metadata: Option<PersistedMetadata>,
     },
-    /// Hands a result to whoever waits for it.
+    /// Delivers the result of a write or read to its caller.
     Complete(Completion),
-    /// Tells operators of a change.
+    /// Reports a state change to operators.
     Notify(ReplicationEvent),
 }
--- a/crates/replication/src/config.rs
+++ b/crates/replication/src/config.rs
@@ -1,28 +1,31 @@
-//! Configuration of replication.
+//! Configuration of replication: timeouts, the replication factor, and bounds.
 
 use crate::Ticks;
 use crate::placement::ReplicationFactor;
 use crate::record_store::RecordStoreLimits;
 
-/// The default lease: renewed every half second, so that a lost message or a short pause of a machine ends none.
+/// Default lease duration, 2 s: renewed every 500 ms, so that a lost message or a short pause of a host expires none.
 const DEFAULT_LEASE: Ticks = 20_000;
 
-/// Configuration of one member; all but the limits of one process are the same for all members.
+/// Replication settings of one member.
+///
+/// All settings except the limits of a single process have to be the same on all members.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// How many replicas each record has.
+    /// Number of replicas of each record.
     pub replicas: ReplicationFactor,
-    /// A member that is silent for longer may be serving without a quorum, and acts on no layout.
+    /// Lease duration: a member that has been silent for longer may be serving without a quorum, and does not act on
+    /// any layout.
     pub lease_duration: Ticks,
-    /// How far the clocks of any two machines may differ.
+    /// Upper bound of the difference between the clocks of any two hosts.
     pub max_clock_skew: Ticks,
-    /// How long a write may wait for its quorum, and a read for its replicas.
+    /// Longest time that a write or read waits for a quorum of replicas.
     pub quorum_timeout: Ticks,
-    /// No write of any client is open for longer.
+    /// Upper bound of the time that any client's write stays open.
     pub max_write_duration: Ticks,
     /// Bounds of the record store.
     pub limits: RecordStoreLimits,
-    /// Records that anti-entropy asks for in a second at most.
+    /// Records that anti-entropy requests per second at most.
     pub repair_rate: usize,
 }
 
--- a/crates/replication/src/hinted_handoff.rs
+++ b/crates/replication/src/hinted_handoff.rs
@@ -1,24 +1,24 @@
-//! Hinted handoff: records kept for a replica that is unreachable, sent once it is back.
+//! Hinted handoff: buffers records for an unreachable replica, to be sent once it is reachable again.
 
 use std::collections::VecDeque;
 
 use crate::Ticks;
 use crate::record::Record;
 
-/// Hints kept for one replica at most; anti-entropy repairs what is dropped.
+/// Maximum hints buffered for one replica; anti-entropy repairs the replica for hints that were dropped.
 const MAX_HINTS: usize = 4_096;
 
-/// Whether keeping a hint made room at the cost of the oldest one.
+/// Whether storing a hint has evicted the oldest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum HintStored {
-    /// Nothing was dropped.
+    /// The buffer was not full; no hint was dropped.
     WithinBound,
-    /// The oldest hint was dropped.
+    /// The buffer was full, and the oldest hint was dropped.
     OldestDropped,
 }
 
-/// The hints for one replica, oldest first.
+/// Bounded queue of the hints for one replica, oldest first.
 #[derive(Debug, Default)]
 pub struct HintBuffer {
     hints: VecDeque<Record>,
@@ -26,7 +26,7 @@
 }
 
 impl HintBuffer {
-    /// Keeps a record until the replica is reachable.
+    /// Appends a record; drops the oldest hint if the buffer is full.
     pub fn store(&mut self, record: Record) -> HintStored {
         self.hints.push_back(record);
         if self.hints.len() > MAX_HINTS {
@@ -36,25 +36,25 @@
         HintStored::WithinBound
     }
 
-    /// The number of hints.
+    /// Number of buffered hints.
     #[must_use]
     pub fn len(&self) -> usize {
         self.hints.len()
     }
 
-    /// Whether there is no hint.
+    /// Whether no hint is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hints.is_empty()
     }
 
-    /// Whether there are hints whose next attempt has come.
+    /// Whether hints are buffered and the time of the next delivery attempt has been reached.
     #[must_use]
     pub fn is_due(&self, now: Ticks) -> bool {
         !self.hints.is_empty() && now >= self.next_attempt
     }
 
-    /// Takes up to `capacity` hints, oldest first; the rest is due again at `next_attempt`.
+    /// Removes and returns up to `capacity` hints, oldest first; the remaining ones are due again at `next_attempt`.
     pub fn take(&mut self, capacity: usize, next_attempt: Ticks) -> Vec<Record> {
         self.next_attempt = next_attempt;
         let taken = capacity.min(self.hints.len());
--- a/crates/replication/src/local_sessions.rs
+++ b/crates/replication/src/local_sessions.rs
@@ -1,48 +1,49 @@
-//! What this member remembers of the sessions whose writes it has begun.
+//! Progress of the sessions whose writes have begun at this member.
 //!
-//! Whoever finishes the last open write of a session reports all of them as finished, also to a replica that missed an
-//! earlier report.
+//! When the last open write of a session finishes, all of its writes are reported as finished together, so that a
+//! replica that missed an earlier report catches up.
 
 use std::collections::BTreeMap;
 
 use crate::Ticks;
 
-/// Sessions remembered; beyond them the half that was idle for longest is forgotten.
+/// Maximum tracked sessions; beyond it the half of the idle sessions that was idle for longest is evicted.
 const MAX_SESSIONS: usize = 1 << 16;
 
+/// Open writes and position of one session at this member.
 #[derive(Debug)]
 struct LocalSession {
-    /// The first write since the session is remembered; earlier ones are not this entry's to finish.
+    /// Number of the first write since the session is tracked; this entry does not finish earlier ones.
     first_write: u32,
     last_write: u32,
     open_writes: u32,
     position: Ticks,
     touched_at: Ticks,
-    /// Since when no write of it could get a quorum, if the last one could not.
+    /// Time of the first rejection since a quorum last acknowledged a write of the session.
     rejected_since: Option<Ticks>,
 }
 
-/// A write that has begun.
+/// Numbers assigned to a write when it begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BegunWrite {
-    /// The first write of the session that is remembered here.
+    /// Number of the session's first write since this member tracks it.
     pub first_write: u32,
-    /// The number of this write, which no other write of this process has.
+    /// Number of this write, unique within the process.
     pub number: u32,
 }
 
-/// What a session's writes have come to when one of them finishes.
+/// State of a session's writes after one of them has finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionProgress {
-    /// The first write of the session that is remembered here.
+    /// Number of the session's first write since this member tracks it.
     pub first_write: u32,
-    /// The highest replication position known of the session's writes.
+    /// Highest known replication position of the session's writes.
     pub position: Ticks,
-    /// The last write, once none is open; else 0.
+    /// Number of the last write if no write is open; 0 otherwise.
     pub last_finished: u32,
 }
 
-/// The sessions with writes of this member.
+/// Sessions with writes that began at this member, by session number.
 #[derive(Debug, Default)]
 pub struct LocalSessions {
     sessions: BTreeMap<u64, LocalSession>,
@@ -50,7 +51,7 @@
 }
 
 impl LocalSessions {
-    /// Numbers a write of a session and counts it as open.
+    /// Assigns a number to a write of a session and counts the write as open.
     pub fn begin_write(&mut self, now: Ticks, session: u64) -> BegunWrite {
         self.writes_begun += 1;
         let number = self.writes_begun;
@@ -73,7 +74,9 @@
         }
     }
 
-    /// Counts a write as finished at a position, 0 where it was not executed.
+    /// Counts a write as finished at a replication position; 0 if it was not executed.
+    ///
+    /// Returns `None` if the session is not tracked any more.
     pub fn finish_write(
         &mut self,
         now: Ticks,
@@ -92,20 +95,20 @@
         })
     }
 
-    /// The first write of a session that is remembered.
+    /// Number of a session's first write since this member tracks it; `None` if it is not tracked.
     #[must_use]
     pub fn first_write(&self, session: u64) -> Option<u32> {
         Some(self.sessions.get(&session)?.first_write)
     }
 
-    /// A write of the session was acknowledged by a quorum.
+    /// Resets the time of the first rejection: a quorum has acknowledged a write of the session.
     pub fn on_quorum_acknowledged(&mut self, session: u64) {
         if let Some(entry) = self.sessions.get_mut(&session) {
             entry.rejected_since = None;
         }
     }
 
-    /// A write of the session is rejected; since when all of them were.
+    /// Records that a write of the session was rejected; returns the time since when all of its writes were rejected.
     pub fn on_rejected(&mut self, now: Ticks, session: u64) -> Ticks {
         let entry = self.sessions.get_mut(&session);
         entry.map_or(now, |entry| *entry.rejected_since.get_or_insert(now))
--- a/crates/replication/src/merkle.rs
+++ b/crates/replication/src/merkle.rs
@@ -1,56 +1,61 @@
-//! Merkle trees over the records that two members share: one tree for each replica of the layout, two levels deep.
+//! Merkle trees over the records that two members share: one tree for each replica holder of the layout, two levels
+//! deep.
 //!
-//! The hash of a bucket is the XOR of its records' digests. The hash of a branch rotates each bucket's hash by its index,
-//! so that equal hashes in two buckets do not cancel out.
+//! The hash of a bucket is the XOR of its records' digests. The hash of a branch is the XOR of its buckets' hashes,
+//! each rotated by the bucket's index, so that equal hashes in two buckets do not cancel out.
 
 use std::collections::BTreeSet;
 
 use crate::message::TREE_FANOUT;
 use crate::record::{Record, RecordKey};
 
-/// The leaves of the tree.
+/// Number of buckets, the leaves of each tree.
 pub const BUCKETS: usize = TREE_FANOUT * TREE_FANOUT;
 
-/// Bits of a key's hash that are not used for its bucket.
+/// Low bits of a key's hash that do not select its bucket; the upper 12 do.
 const UNUSED_HASH_BITS: u32 = 52;
 
-/// The bucket of a key.
+/// Index of the bucket that a key belongs to, below [`BUCKETS`].
 #[must_use]
 pub fn bucket_index(key: RecordKey) -> usize {
     (key.hash() >> UNUSED_HASH_BITS) as usize % BUCKETS
 }
 
-/// The hashes of all buckets, for each replica of the newest layout by its index.
+/// Bucket hashes for each replica holder of the newest layout.
 #[derive(Debug, Default)]
 pub struct MerkleTrees {
+    /// By the holder's index in the layout, then by bucket.
     hashes: Vec<Vec<u64>>,
+    /// Buckets whose hashes are out of date.
     stale: BTreeSet<usize>,
 }
 
 impl MerkleTrees {
-    /// Marks a bucket whose records have changed.
+    /// Marks a bucket as stale after its records have changed.
     pub fn mark_stale(&mut self, bucket: usize) {
         self.stale.insert(bucket);
     }
 
-    /// Whether any bucket has to be rehashed.
+    /// Whether the hashes of any bucket are out of date.
     #[must_use]
     pub fn is_stale(&self) -> bool {
         !self.stale.is_empty()
     }
 
-    /// Starts anew for a layout of so many replicas.
+    /// Discards all hashes and marks all buckets as stale, for a layout of `replicas` holders.
     pub fn reset(&mut self, replicas: usize) {
         self.hashes = vec![vec![0; BUCKETS]; replicas];
         self.stale = (0..BUCKETS).collect();
     }
 
-    /// Takes the next bucket that has to be rehashed.
+    /// Removes and returns the lowest stale bucket; the caller rehashes it.
     pub fn pop_stale(&mut self) -> Option<usize> {
         self.stale.pop_first()
     }
 
-    /// Rehashes a bucket; `replicas` gives the indices of a record's replicas.
+    /// Recomputes the hashes of a bucket from all of its records.
+    ///
+    /// `replicas` returns the layout indices of a record's replica holders.
     pub fn rehash<'a>(
         &mut self,
         bucket: usize,
@@ -70,14 +75,14 @@
         }
     }
 
-    /// The hashes of one branch's buckets in the tree of a replica.
+    /// Hashes of the buckets of a branch in the tree of one replica holder; zeros for an unknown holder.
     #[must_use]
     pub fn bucket_hashes(&self, replica: usize, branch: usize) -> Vec<u64> {
         self.branch(replica, branch)
             .map_or_else(|| vec![0; TREE_FANOUT], <[u64]>::to_vec)
     }
 
-    /// The hashes of all branches in the tree of a replica.
+    /// Hashes of all branches in the tree of one replica holder; zeros for an unknown holder.
     #[must_use]
     pub fn branch_hashes(&self, replica: usize) -> Vec<u64> {
         let hash = |branch| self.branch(replica, branch).map_or(0, branch_hash);
@@ -90,6 +95,7 @@
     }
 }
 
+/// Combines the bucket hashes of a branch.
 fn branch_hash(buckets: &[u64]) -> u64 {
     buckets
         .iter()
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,6 +1,8 @@
-//! Messages between members, with the bounds that a valid one keeps.
+//! Messages between members, and their validation.
 //!
-//! Encoded by postcard: neither fields nor variants may be moved.
+//! # Invariants
+//!
+//! Messages are encoded by postcard, which is positional: fields and variants must not be reordered, added or removed.
 
 use leverpoint_membership::layout::Layout;
 use serde::{Deserialize, Serialize};
@@ -8,160 +10,161 @@
 use crate::Ticks;
 use crate::record::{Record, RecordKey};
 
-/// Records, keys or replies in one message at most.
+/// Maximum number of records, keys or replies in one message.
 pub const MAX_RECORDS: usize = 128;
-/// Layouts in force at most.
+/// Maximum number of layouts in force.
 pub const MAX_LAYOUTS: usize = 16;
-/// Children of each node of the Merkle tree, and hashes in one message.
+/// Number of children of each inner node of the Merkle tree, and of hashes in one message.
 pub const TREE_FANOUT: usize = 64;
 
-/// A message with its sender.
+/// Message together with the identity and layout of its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender's name.
+    /// Member name of the sender.
     pub sender: String,
-    /// The sender's incarnation.
+    /// Incarnation number of the sender.
     pub incarnation: u64,
-    /// The number of the durable state that the sender holds.
+    /// Id of the sender's durable storage; never 0.
     pub storage_id: u64,
-    /// The newest layout that the sender goes by.
+    /// Version of the newest layout that the sender knows.
     pub layout_version: u64,
-    /// The number of a request, or of the request that this replies to.
+    /// Id of the request, or of the request that this message replies to.
     pub request_id: u32,
-    /// What is said.
+    /// The request or reply.
     pub message: Message,
 }
 
-/// Why a replica does not do what it is asked.
+/// Why a replica rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// It goes by another layout.
+    /// Its newest layout has a different version than the sender's.
     LayoutMismatch,
-    /// It goes by the same layout, and does not know which older ones are in force.
+    /// It has the same newest layout, but does not know which older ones are in force.
     LayoutHistoryUnknown,
-    /// It is not in touch with more than half of the layout.
+    /// It is in touch with no more than half of the layout's members.
     Partitioned,
-    /// Too many writes wait for its disk.
+    /// Too many of its writes wait to be persisted.
     Overloaded,
-    /// Its disk has failed.
+    /// Its store has failed.
     DiskFailed,
-    /// The layout does not name it with the memory that it has.
+    /// The layout does not list it with its current storage id.
     NotAReplica,
 }
 
-/// A replica's reply to a read of one record.
+/// Reply of a replica to a read of one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordReply {
-    /// The record, if it has one.
+    /// The record, if the replica has it.
     pub record: Option<Record>,
-    /// What lies before it may be missing there.
+    /// Records last touched before this time may be missing at the replica.
     pub low_watermark: Ticks,
-    /// It can't account for a member that may be serving without a quorum.
+    /// Whether some member may be serving without a quorum, as far as the replica knows.
     pub partitioned: bool,
 }
 
-/// Where the next batch of records begins: a bucket, and after which key in it.
+/// Start of the next batch of records: a bucket, and the key in it after which the batch begins.
 pub type BatchPosition = (u16, Option<RecordKey>);
 
-/// A request or a reply.
+/// Request or reply between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Renews the sender's lease.
+    /// Renews the sender's lease at the receiver.
     RenewLease {
-        /// The last time that the receiver has sent; 0 while the sender serves without a quorum.
+        /// Latest time of the receiver's clock that the sender has received, which the lease runs from; 0 while the
+        /// sender serves without a quorum, which renews nothing.
         echoed_time: Ticks,
-        /// All that the sender has answered without a quorum lies before it.
+        /// All writes that the sender has answered without a quorum have positions before this time.
         unreplicated_until: Ticks,
-        /// The sender has all of its records up to that layout.
+        /// Newest layout version for which the sender has received all of its records.
         synced_version: u64,
     },
-    /// Replies to a renewal.
+    /// Replies to [`Message::RenewLease`].
     LeaseRenewed {
-        /// The time of the sender's clock.
+        /// Current time of the sender's clock, which the next renewal echoes.
         time: Ticks,
-        /// The sender has all of its records up to that layout.
+        /// Newest layout version for which the sender has received all of its records.
         synced_version: u64,
     },
-    /// Asks to persist records.
+    /// Requests that the receiver merge and persist records.
     Write {
-        /// The records.
+        /// The records to merge.
         records: Vec<Record>,
     },
-    /// Replies that records are persisted.
+    /// Replies to [`Message::Write`] once the records are persisted.
     WriteAcknowledged {
-        /// Those of idempotency keys, as they are now.
+        /// The written records of idempotency keys, in their state after the merge.
         merged: Vec<Record>,
-        /// What lies before it may be missing there.
+        /// Records last touched before this time may be missing at the sender.
         low_watermark: Ticks,
-        /// The sender can't account for a member that may be serving without a quorum.
+        /// Whether some member may be serving without a quorum, as far as the sender knows.
         partitioned: bool,
     },
-    /// Asks for records.
+    /// Requests records by key.
     Read {
-        /// Their keys.
+        /// Keys of the requested records.
         keys: Vec<RecordKey>,
     },
-    /// Replies to a read.
+    /// Replies to [`Message::Read`].
     ReadReply {
-        /// In the order of the keys.
+        /// One reply for each key, in the order of the request.
         replies: Vec<RecordReply>,
     },
-    /// Asks which nodes of the Merkle tree over the shared records differ.
+    /// Requests the nodes of the Merkle tree over the shared records whose hashes differ.
     CompareHashes {
-        /// None: all branches; else the buckets of one branch.
+        /// Branch whose buckets are compared; `None` compares all branches.
         branch: Option<u16>,
-        /// The sender's hashes.
+        /// Hashes of these nodes at the sender.
         hashes: Vec<u64>,
     },
-    /// Replies which nodes differ.
+    /// Replies to [`Message::CompareHashes`].
     DifferingNodes {
-        /// Their indices among the hashes.
+        /// Indices of the differing nodes among the hashes of the request.
         nodes: Vec<u16>,
     },
-    /// Asks for the shared records of a bucket.
+    /// Requests the shared records of a bucket.
     FetchBucket {
-        /// The bucket.
+        /// Index of the bucket.
         bucket: u16,
-        /// Only those behind this key.
+        /// Requests only records with a greater key.
         after: Option<RecordKey>,
     },
-    /// Asks for records that a newer layout has reassigned to the sender.
+    /// Requests records that a newer layout has reassigned to the sender.
     FetchReassigned {
-        /// The bucket to begin with.
+        /// Index of the first bucket.
         from_bucket: u16,
-        /// Only those behind this key in that bucket.
+        /// Requests only records of the first bucket with a greater key.
         after: Option<RecordKey>,
     },
-    /// Replies with records.
+    /// Replies to [`Message::FetchBucket`] and [`Message::FetchReassigned`].
     RecordBatch {
-        /// The records.
+        /// The requested records that fit this batch.
         records: Vec<Record>,
-        /// Where the next batch begins, if there are more.
+        /// Start of the next batch; `None` after the last one.
         next: Option<BatchPosition>,
-        /// What lies before it may be missing among them.
+        /// Records last touched before this time may be missing from the batch.
         low_watermark: Ticks,
     },
-    /// Asks which layouts are in force.
+    /// Requests the layouts in force.
     QueryLayouts,
-    /// Replies with the layouts in force, oldest first.
+    /// Replies to [`Message::QueryLayouts`].
     Layouts {
-        /// The layouts.
+        /// Layouts in force, oldest first.
         layouts: Vec<Layout>,
     },
-    /// Replies that a request was not done.
+    /// Replies that a request was rejected.
     Rejected {
-        /// Why.
+        /// Why the request was rejected.
         reason: RejectReason,
     },
-    /// Announces that the sender's incarnation ends and answers nothing more.
+    /// Announces that the sender's incarnation shuts down and serves nothing more.
     Leaving {
-        /// The last time that the receiver has sent.
+        /// Latest time of the receiver's clock that the sender has received; 0 if it has received none.
         echoed_time: Ticks,
     },
 }
 
 impl Envelope {
-    /// Whether all parts keep their bounds.
+    /// Whether the message and its sender are within their bounds.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         self.message.is_valid()
@@ -186,16 +189,16 @@
                 replies.len() <= MAX_RECORDS && replies.iter().all(RecordReply::is_valid)
             }
             Message::CompareHashes { branch, hashes } => {
-                hashes.len() == TREE_FANOUT && branch.is_none_or(is_node)
+                hashes.len() == TREE_FANOUT && branch.is_none_or(is_node_index)
             }
             Message::DifferingNodes { nodes } => {
-                nodes.len() <= TREE_FANOUT && nodes.iter().copied().all(is_node)
+                nodes.len() <= TREE_FANOUT && nodes.iter().copied().all(is_node_index)
             }
             Message::Layouts { layouts } => {
-                let rises = |pair: &[Layout]| pair[0].version < pair[1].version;
+                let ascending = |pair: &[Layout]| pair[0].version < pair[1].version;
                 layouts.len() <= MAX_LAYOUTS
                     && layouts.iter().all(Layout::is_valid)
-                    && layouts.windows(2).all(rises)
+                    && layouts.windows(2).all(ascending)
             }
             Message::RenewLease {
                 echoed_time,
@@ -216,6 +219,6 @@
     }
 }
 
-fn is_node(node: u16) -> bool {
+fn is_node_index(node: u16) -> bool {
     usize::from(node) < TREE_FANOUT
 }
