--- a/crates/replication/src/action.rs
+++ b/crates/replication/src/action.rs
@@ -24,7 +24,7 @@
 /// Metadata that is persisted beside the records and restored after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedMetadata {
-    /// Records last touched before this time may be missing from the persisted records.
+    /// Records last touched up to this time may be missing from the persisted records.
     pub low_watermark: Ticks,
     /// Layouts in force, oldest first.
     pub layouts: Vec<Layout>,
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -56,7 +56,7 @@
 pub struct RecordReply {
     /// The record, if the replica has it.
     pub record: Option<Record>,
-    /// Records last touched before this time may be missing at the replica.
+    /// Records last touched up to this time may be missing at the replica.
     pub low_watermark: Ticks,
     /// Whether some member may be serving without a quorum, as far as the replica knows.
     pub partitioned: bool,
@@ -73,7 +73,7 @@
         /// Latest time of the receiver's clock that the sender has received, which the lease runs from; 0 while the
         /// sender serves without a quorum, which renews nothing.
         echoed_time: Ticks,
-        /// All writes that the sender has answered without a quorum have positions before this time.
+        /// All writes that the sender has answered without a quorum have positions up to this time.
         unreplicated_until: Ticks,
         /// Newest layout version for which the sender has received all of its records.
         synced_version: u64,
@@ -94,7 +94,7 @@
     WriteAcknowledged {
         /// The written records of idempotency keys, in their state after the merge.
         merged: Vec<Record>,
-        /// Records last touched before this time may be missing at the sender.
+        /// Records last touched up to this time may be missing at the sender.
         low_watermark: Ticks,
         /// Whether some member may be serving without a quorum, as far as the sender knows.
         partitioned: bool,
@@ -141,7 +141,7 @@
         records: Vec<Record>,
         /// Start of the next batch; `None` after the last one.
         next: Option<BatchPosition>,
-        /// Records last touched before this time may be missing from the batch.
+        /// Records last touched up to this time may be missing from the batch.
         low_watermark: Ticks,
     },
     /// Requests the layouts in force.
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -2,8 +2,9 @@
 //!
 //! # Invariants
 //!
-//! A merge is commutative, associative and idempotent: the least value that is no older than either. What is known of a
-//! request is never merged back to unknown. Encoded by postcard: neither fields nor variants may be moved.
+//! The merge is commutative, associative and idempotent: it is the least upper bound of both values. It never replaces
+//! the known outcome of a request by an unknown one. Records are encoded by postcard, which is positional: fields and
+//! variants must not be reordered, added or removed.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +13,21 @@
 
 use crate::Ticks;
 
-/// The key of a record.
+/// Key of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKey {
-    /// The writes of a session, by its number.
+    /// Writes of a session, by session number.
     Session(u64),
-    /// A request with an idempotency key, by the hash of tenant and key.
+    /// Request with an idempotency key, by the hash of tenant and key.
     KeyedRequest(u64),
-    /// The primary of a replica set.
+    /// Primary of a replica set, by the index of the set.
     Primary(u16),
-    /// The endpoint list, as far as it says which endpoints are drained.
+    /// Drained endpoints of the endpoint list.
     EndpointList,
 }
 
 impl RecordKey {
-    /// A hash that spreads keys evenly over buckets and replicas.
+    /// Hash that distributes keys evenly over buckets and replicas.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let (tag, number) = match self {
@@ -41,37 +42,39 @@
     }
 }
 
-/// Writes of a session that one incarnation of a gateway has begun.
+/// Progress of a session's writes that began at one incarnation of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenWrites {
-    /// The last write that has begun.
+    /// Number of the last write that has begun.
     pub last_begun: u32,
-    /// All writes up to this one have ended, and the position covers them.
+    /// All writes up to this number have finished, and the session's position covers them.
     pub last_finished: u32,
-    /// When the last write began, by that gateway's clock.
+    /// Start of the last write, by that gateway's clock.
     pub begun_at: Ticks,
 }
 
 impl OpenWrites {
-    /// Whether a write that has begun may not have finished.
+    /// Whether a write that has begun may still be open.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.last_begun > self.last_finished
     }
 }
 
-/// The writes of a session.
+/// Replication position and open writes of a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionWrites {
-    /// The highest replication position that was answered to it, or a time behind all of them.
+    /// Highest replication position of the session's answered writes, or a later time.
     pub position: Ticks,
-    /// By writer, and the first write that it remembered of the session: what it has forgotten it does not close.
+    /// By writer id, and by the number of the first write since that writer tracks the session: a writer that has evicted
+    /// a session does not finish its earlier writes.
     pub open_writes: BTreeMap<(u64, u32), OpenWrites>,
-    /// More writers had open writes at once than a record holds: reads require the present.
+    /// Whether more writers had open writes at once than a record holds; reads then have to see every write up to the
+    /// present.
     pub overflowed: bool,
 }
 
-/// Writers whose open writes a record holds.
+/// Maximum number of writers whose open writes a record holds.
 pub const MAX_OPEN_WRITERS: usize = 4;
 
 impl SessionWrites {
@@ -79,19 +82,21 @@
         self.position = self.position.max(other.position);
         self.overflowed |= other.overflowed;
         for (writer, theirs) in &other.open_writes {
-            let mine = self.open_writes.entry(*writer).or_default();
-            mine.last_begun = mine.last_begun.max(theirs.last_begun);
-            mine.last_finished = mine.last_finished.max(theirs.last_finished);
-            mine.begun_at = mine.begun_at.max(theirs.begun_at);
+            let ours = self.open_writes.entry(*writer).or_default();
+            ours.last_begun = ours.last_begun.max(theirs.last_begun);
+            ours.last_finished = ours.last_finished.max(theirs.last_finished);
+            ours.begun_at = ours.begun_at.max(theirs.begun_at);
         }
         self.enforce_bound();
     }
 
+    /// Keeps at most [`MAX_OPEN_WRITERS`] writers; sets `overflowed` if one with open writes is dropped.
     fn enforce_bound(&mut self) {
         if self.open_writes.len() <= MAX_OPEN_WRITERS {
             return;
         }
-        // A writer without open writes says nothing; should a stale replica bring it back, reads only wait longer.
+        // A writer without open writes carries no information; if a stale replica reintroduces it, reads only wait
+        // longer.
         self.open_writes.retain(|_, open| open.is_open());
         while self.open_writes.len() > MAX_OPEN_WRITERS {
             self.open_writes.pop_first();
@@ -99,45 +104,45 @@
         }
     }
 
-    /// Whether a write may have been answered whose position is not here.
+    /// Whether a write may have been answered whose position the record does not cover.
     #[must_use]
     pub fn has_open_writes(&self) -> bool {
         self.overflowed || self.open_writes.values().any(OpenWrites::is_open)
     }
 }
 
-/// How an attempt has ended, as far as that is known; in a merge the later variant wins.
+/// Known outcome of an attempt; in a merge the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum KeyedOutcome {
-    /// It may be under way.
+    /// The attempt may be in progress.
     Pending,
-    /// It was not executed and is not sent any more.
+    /// The attempt was not executed and will not be sent.
     NotExecuted,
-    /// It may have been executed.
+    /// The attempt may have been executed.
     PossiblyExecuted,
-    /// It was executed: a row came back.
+    /// The attempt was executed: a row was returned.
     Executed,
 }
 
-/// One attempt under an idempotency key.
+/// One attempt of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedAttempt {
-    /// The replica set that it was first sent to.
+    /// Index of the replica set that the attempt was first sent to.
     pub replica_set: u16,
-    /// When it was first sent, by that gateway's clock.
+    /// Time when the attempt was first sent, by that gateway's clock.
     pub first_sent: Ticks,
-    /// Until when that replica set recognizes a retry.
+    /// End of the window in which that replica set recognizes a retry.
     pub deduplicated_until: Ticks,
-    /// How it has ended.
+    /// Known outcome.
     pub outcome: KeyedOutcome,
-    /// Its client did not call it a retry: nothing was sent before it.
+    /// Whether the client did not mark the attempt as a retry, so that no attempt was sent before it.
     pub is_first: bool,
 }
 
 impl KeyedAttempt {
-    /// Joins two attempts into the one that restricts a retry most.
+    /// Combines two attempts into the one that restricts a retry most.
     fn join(&mut self, other: &KeyedAttempt) {
-        // Of two that were sent at one time the lower replica set wins, in any order of merges.
+        // Of two attempts sent at the same time the lower replica set wins, so that the order of merges is irrelevant.
         if (other.first_sent, other.replica_set) < (self.first_sent, self.replica_set) {
             (self.first_sent, self.replica_set, self.is_first) =
                 (other.first_sent, other.replica_set, other.is_first);
@@ -147,20 +152,20 @@
     }
 }
 
-/// What all gateways know of an idempotency key.
+/// Attempts known under an idempotency key, of all gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedRequestState {
-    /// By attempt number, which no two attempts share.
+    /// Attempts by their unique attempt id.
     pub attempts: BTreeMap<u64, KeyedAttempt>,
-    /// The attempts beyond the bound, joined into one.
+    /// Attempts beyond [`MAX_ATTEMPTS`], combined into one.
     pub folded: Option<KeyedAttempt>,
 }
 
-/// Attempts under one key that are told apart.
+/// Maximum number of attempts under one key that a record holds separately.
 pub const MAX_ATTEMPTS: usize = 4;
 
 impl KeyedRequestState {
-    /// The state of a key with one attempt.
+    /// Creates the state of a key with one attempt.
     #[must_use]
     pub fn with_attempt(attempt_id: u64, attempt: KeyedAttempt) -> KeyedRequestState {
         KeyedRequestState {
@@ -169,199 +174,220 @@
         }
     }
 
-    fn fold(&mut self, one: &KeyedAttempt) {
+    fn fold(&mut self, attempt: &KeyedAttempt) {
         match &mut self.folded {
-            Some(rest) => rest.join(one),
-            None => self.folded = Some(*one),
+            Some(folded) => folded.join(attempt),
+            None => self.folded = Some(*attempt),
         }
     }
 
     pub(crate) fn merge(&mut self, other: &KeyedRequestState) {
-        for (number, theirs) in &other.attempts {
-            match self.attempts.get_mut(number) {
-                Some(mine) => mine.join(theirs),
-                None => drop(self.attempts.insert(*number, *theirs)),
+        for (attempt_id, theirs) in &other.attempts {
+            match self.attempts.get_mut(attempt_id) {
+                Some(ours) => ours.join(theirs),
+                None => drop(self.attempts.insert(*attempt_id, *theirs)),
             }
         }
         if let Some(theirs) = &other.folded {
             self.fold(theirs);
         }
         while self.attempts.len() > MAX_ATTEMPTS {
-            // The one that was sent last, so that the result does not depend on the order of merges.
+            // The attempt sent last is folded, so that the result does not depend on the order of merges.
             let last = self
                 .attempts
                 .iter()
-                .max_by_key(|(number, one)| (one.first_sent, **number))
-                .map(|(n, _)| *n);
-            if let Some(one) = last.and_then(|number| self.attempts.remove(&number)) {
-                self.fold(&one);
+                .max_by_key(|(attempt_id, attempt)| (attempt.first_sent, **attempt_id))
+                .map(|(attempt_id, _)| *attempt_id);
+            if let Some(attempt) = last.and_then(|attempt_id| self.attempts.remove(&attempt_id)) {
+                self.fold(&attempt);
             }
         }
     }
 
-    /// All other attempts that may have been executed, joined into one, and whether they went to one replica set.
+    /// All attempts but this one that may have been executed, combined into one, and whether all of them were first
+    /// sent to the same replica set; `None` if there is none.
     #[must_use]
     pub fn other_attempts(&self, attempt_id: u64) -> Option<(KeyedAttempt, bool)> {
-        let may = self.attempts.iter().filter(|(number, one)| {
-            **number != attempt_id && one.outcome != KeyedOutcome::NotExecuted
+        let possibly_executed = self.attempts.iter().filter(|(id, attempt)| {
+            **id != attempt_id && attempt.outcome != KeyedOutcome::NotExecuted
         });
-        let all: Vec<&KeyedAttempt> = may.map(|(_, one)| one).chain(&self.folded).collect();
-        let mut one = **all.first()?;
-        all.iter().for_each(|other| one.join(other));
+        let others: Vec<&KeyedAttempt> = possibly_executed
+            .map(|(_, attempt)| attempt)
+            .chain(&self.folded)
+            .collect();
+        let mut joined = **others.first()?;
+        others.iter().for_each(|other| joined.join(other));
         Some((
-            one,
-            all.iter().all(|other| other.replica_set == one.replica_set),
+            joined,
+            others
+                .iter()
+                .all(|other| other.replica_set == joined.replica_set),
         ))
     }
 
+    /// Latest end of the attempts' deduplication windows; 0 without attempts.
     fn last_touched(&self) -> Ticks {
         self.attempts
             .values()
             .chain(&self.folded)
-            .map(|one| one.deduplicated_until)
+            .map(|attempt| attempt.deduplicated_until)
             .max()
             .unwrap_or(0)
     }
 }
 
-/// The primary of a replica set.
+/// Primary of a replica set, as last observed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PrimaryRole {
-    /// Rises with each change that was observed.
+    /// Term, which increases with each observed change of the primary.
     pub term: u64,
-    /// When it was observed.
+    /// Time of the observation.
     pub observed_at: Ticks,
-    /// The server's name.
+    /// Name of the primary server.
     pub server: String,
 }
 
-/// What the endpoint list said last.
+/// Revision and drained servers of the endpoint list, as last received.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointSummary {
-    /// The revision of the list.
+    /// Revision of the list.
     pub revision: u64,
-    /// When it was received.
+    /// Time when the list was received.
     pub observed_at: Ticks,
-    /// The names of drained servers, in order.
+    /// Names of the drained servers, in ascending order.
     pub drained: Vec<String>,
 }
 
-/// Drained servers in a record at most.
+/// Maximum number of drained servers in a record.
 pub const MAX_DRAINED: usize = 1_024;
-/// The length of a server's name at most, in bytes.
+/// Maximum length of a server's name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// The value of a record.
+/// Value of a record; its variant matches the variant of the [`RecordKey`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordValue {
-    /// The writes of a session.
+    /// Position and open writes of a session.
     Session(SessionWrites),
-    /// The attempts under an idempotency key.
+    /// Attempts known under an idempotency key.
     KeyedRequest(KeyedRequestState),
-    /// The primary of a replica set.
+    /// Primary of a replica set, as last observed.
     Primary(PrimaryRole),
-    /// The drained endpoints.
+    /// Drained endpoints of the endpoint list.
     EndpointList(EndpointSummary),
 }
 
-/// A replicated record.
+/// Replicated record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its key.
+    /// Key that placement and merge go by.
     pub key: RecordKey,
-    /// Its value, of the same kind as the key.
+    /// Value, of the same kind as the key.
     pub value: RecordValue,
 }
 
 impl Record {
-    /// Whether the value is of the key's kind and keeps its bounds.
+    /// Whether the value is of the key's kind and within its bounds.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         match (&self.key, &self.value) {
-            (RecordKey::Session(_), RecordValue::Session(w)) => {
-                w.position >= 0
-                    && w.open_writes.len() <= MAX_OPEN_WRITERS
-                    && w.open_writes.values().all(|open| open.begun_at >= 0)
+            (RecordKey::Session(_), RecordValue::Session(writes)) => {
+                writes.position >= 0
+                    && writes.open_writes.len() <= MAX_OPEN_WRITERS
+                    && writes.open_writes.values().all(|open| open.begun_at >= 0)
             }
             (RecordKey::KeyedRequest(_), RecordValue::KeyedRequest(state)) => {
-                let sound = |one: &KeyedAttempt| {
-                    one.first_sent >= 0 && one.deduplicated_until >= one.first_sent
+                let is_valid_attempt = |attempt: &KeyedAttempt| {
+                    attempt.first_sent >= 0 && attempt.deduplicated_until >= attempt.first_sent
                 };
-                let some = !state.attempts.is_empty() || state.folded.is_some();
-                some && state.attempts.len() <= MAX_ATTEMPTS
-                    && state.attempts.values().chain(&state.folded).all(sound)
+                let has_attempts = !state.attempts.is_empty() || state.folded.is_some();
+                has_attempts
+                    && state.attempts.len() <= MAX_ATTEMPTS
+                    && state
+                        .attempts
+                        .values()
+                        .chain(&state.folded)
+                        .all(is_valid_attempt)
             }
             (RecordKey::Primary(_), RecordValue::Primary(role)) => {
                 role.server.len() <= MAX_NAME_LEN && role.observed_at >= 0
             }
-            (RecordKey::EndpointList, RecordValue::EndpointList(listed)) => {
-                let ordered = listed.drained.windows(2).all(|pair| pair[0] < pair[1]);
-                let short = listed.drained.iter().all(|name| name.len() <= MAX_NAME_LEN);
-                ordered && short && listed.drained.len() <= MAX_DRAINED && listed.observed_at >= 0
+            (RecordKey::EndpointList, RecordValue::EndpointList(summary)) => {
+                let ascending = summary.drained.windows(2).all(|pair| pair[0] < pair[1]);
+                let within_len = summary
+                    .drained
+                    .iter()
+                    .all(|name| name.len() <= MAX_NAME_LEN);
+                ascending
+                    && within_len
+                    && summary.drained.len() <= MAX_DRAINED
+                    && summary.observed_at >= 0
             }
             _ => false,
         }
     }
 
-    /// Merges another replica of the same record; whether that changed anything.
+    /// Merges another replica's version of the same record; returns whether this one has changed.
+    ///
+    /// A record with another key is ignored.
     pub fn merge(&mut self, other: &Record) -> bool {
         if self.key != other.key {
             return false;
         }
         let before = self.value.clone();
         match (&mut self.value, &other.value) {
-            (RecordValue::Session(mine), RecordValue::Session(theirs)) => mine.merge(theirs),
-            (RecordValue::KeyedRequest(mine), RecordValue::KeyedRequest(theirs)) => {
-                mine.merge(theirs);
+            (RecordValue::Session(ours), RecordValue::Session(theirs)) => ours.merge(theirs),
+            (RecordValue::KeyedRequest(ours), RecordValue::KeyedRequest(theirs)) => {
+                ours.merge(theirs);
             }
-            (RecordValue::Primary(mine), RecordValue::Primary(theirs)) if theirs > mine => {
-                *mine = theirs.clone();
+            (RecordValue::Primary(ours), RecordValue::Primary(theirs)) if theirs > ours => {
+                *ours = theirs.clone();
             }
-            (RecordValue::EndpointList(mine), RecordValue::EndpointList(theirs))
-                if theirs > mine =>
+            (RecordValue::EndpointList(ours), RecordValue::EndpointList(theirs))
+                if theirs > ours =>
             {
-                *mine = theirs.clone();
+                *ours = theirs.clone();
             }
             _ => {}
         }
         self.value != before
     }
 
-    /// The last time that it speaks of, from which it ages.
+    /// Time that retention and eviction count from: a session's latest position or begun write, a key's latest end of a
+    /// deduplication window. `Ticks::MAX` for records that neither expire nor are evicted.
     #[must_use]
     pub fn last_touched(&self) -> Ticks {
         match &self.value {
-            RecordValue::Session(wrote) => wrote
+            RecordValue::Session(writes) => writes
                 .open_writes
                 .values()
                 .map(|open| open.begun_at)
                 .max()
                 .unwrap_or(0)
-                .max(wrote.position),
+                .max(writes.position),
             RecordValue::KeyedRequest(state) => state.last_touched(),
             RecordValue::Primary(_) | RecordValue::EndpointList(_) => Ticks::MAX,
         }
     }
 
-    /// A hash that two replicas share only where they hold the same.
+    /// Hash of the encoded record, by which replicas compare their versions of it.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        // Every record that is held can be encoded.
+        // Encoding into a `Vec` does not fail for any record.
         let bytes = postcard::to_stdvec(self).unwrap_or_default();
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 
-    /// Its bytes in memory, near enough for a bound.
+    /// Approximate size in memory, in bytes; accurate enough for the store's limit.
     #[must_use]
     pub fn memory_size(&self) -> usize {
-        let more = match &self.value {
-            RecordValue::Session(wrote) => wrote.open_writes.len() * 48,
+        let heap_bytes = match &self.value {
+            RecordValue::Session(writes) => writes.open_writes.len() * 48,
             RecordValue::KeyedRequest(state) => state.attempts.len() * 48,
             RecordValue::Primary(role) => role.server.len(),
-            RecordValue::EndpointList(listed) => {
-                listed.drained.iter().map(|name| name.len() + 24).sum()
+            RecordValue::EndpointList(summary) => {
+                summary.drained.iter().map(|name| name.len() + 24).sum()
             }
         };
-        size_of::<Record>() + more
+        size_of::<Record>() + heap_bytes
     }
 }
--- a/crates/replication/src/record_store.rs
+++ b/crates/replication/src/record_store.rs
@@ -1,9 +1,9 @@
-//! In-memory store of replicated records, bucketed by key hash. Evicted records are covered by a low watermark.
+//! In-memory store of replicated records, bucketed by key hash, with eviction and expiry.
 //!
 //! # Invariants
 //!
-//! No record is dropped before the low watermark covers it, except keys that are past their retention. The store stays
-//! within its limits.
+//! The low watermark is raised to cover a record before the record is dropped, except for idempotency keys past their
+//! retention. The store stays within its limits.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,27 @@
 pub use crate::merkle::{BUCKETS, bucket_index};
 use crate::record::{Record, RecordKey, RecordValue};
 
-/// The low watermark rises in steps of ten seconds as records expire: it is persisted each time.
+/// Expiry raises the low watermark in steps of 10 s, as each rise is persisted.
 const LOW_WATERMARK_STEP: Ticks = 100_000;
-/// The part of the records that is evicted at once where there are too many.
-const EVICTED_FRACTION: usize = 10;
+/// An eviction drops one record in this many.
+const EVICTION_DIVISOR: usize = 10;
 
-/// Bounds of a record store.
+/// Bounds of a [`RecordStore`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordStoreLimits {
-    /// Records at most.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Bytes of all records in memory at most.
+    /// Maximum approximate size of all records in memory, in bytes.
     pub max_bytes: usize,
-    /// How long a position is retained after it was last touched: by then every replica of the database has it.
+    /// Time for which a session's position is retained, counted from [`Record::last_touched`]: by then every replica of
+    /// the database has replicated up to it.
     pub position_retention: Ticks,
-    /// How long a key is retained after its first attempt: its window, a client's timeout and the clock skew.
+    /// Time for which an idempotency key is retained, counted from [`Record::last_touched`]: it covers the
+    /// deduplication window, the client timeout and the clock skew.
     pub key_retention: Ticks,
 }
 
-/// The records that a member holds.
+/// The records of one member, with the Merkle trees over them.
 #[derive(Debug)]
 pub struct RecordStore {
     limits: RecordStoreLimits,
@@ -39,12 +41,13 @@
     bytes: usize,
     low_watermark: Ticks,
     trees: MerkleTrees,
+    /// Counts buckets searched for expired records; modulo [`BUCKETS`] it is the next one to search.
     next_to_expire: usize,
     evicted: u64,
 }
 
 impl RecordStore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new(limits: RecordStoreLimits) -> RecordStore {
         RecordStore {
@@ -59,66 +62,66 @@
         }
     }
 
-    /// The number of records.
+    /// Number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there is no record.
+    /// Whether the store has no record.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes of all records in memory, about.
+    /// Approximate size of all records in memory, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Records evicted for want of room.
+    /// Number of records evicted because a limit was exceeded.
     #[must_use]
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// What lies before it may be missing here.
+    /// Time up to which records may be missing, by [`Record::last_touched`].
     #[must_use]
     pub fn low_watermark(&self) -> Ticks {
         self.low_watermark
     }
 
-    /// Raises the low watermark; whether it has risen.
+    /// Raises the low watermark to at least `to`; returns whether it has changed.
     pub fn raise_low_watermark(&mut self, to: Ticks) -> bool {
-        let rises = to > self.low_watermark;
+        let raised = to > self.low_watermark;
         self.low_watermark = self.low_watermark.max(to);
-        rises
+        raised
     }
 
-    /// The record of a key.
+    /// Returns the record of a key.
     #[must_use]
     pub fn get(&self, key: RecordKey) -> Option<&Record> {
         self.buckets[bucket_index(key)].get(&key)
     }
 
-    /// The records of a bucket, in the order of their keys.
+    /// Records of a bucket, in key order.
     pub fn bucket_records(&self, bucket: usize) -> impl Iterator<Item = &Record> {
         self.buckets[bucket].values()
     }
 
-    /// All records.
+    /// All records, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.buckets.iter().flat_map(BTreeMap::values)
     }
 
-    /// Merges a record into the store; whether anything was new.
+    /// Merges a record into the store; returns whether the stored record has changed.
     pub fn merge(&mut self, record: &Record) -> bool {
         let bucket = bucket_index(record.key);
-        let changed = if let Some(held) = self.buckets[bucket].get_mut(&record.key) {
-            let before = held.memory_size();
-            let changed = held.merge(record);
-            self.bytes = (self.bytes + held.memory_size()).saturating_sub(before);
+        let changed = if let Some(stored) = self.buckets[bucket].get_mut(&record.key) {
+            let before = stored.memory_size();
+            let changed = stored.merge(record);
+            self.bytes = (self.bytes + stored.memory_size()).saturating_sub(before);
             changed
         } else {
             self.len += 1;
@@ -135,20 +138,21 @@
         changed
     }
 
-    /// Drops a record without raising the low watermark, for a failpoint.
+    /// Drops a record without raising the low watermark; used by a planted fault only.
     pub(crate) fn forget(&mut self, key: RecordKey) {
         self.drop_from(bucket_index(key), |record| record.key == key);
     }
 
-    fn drop_from(&mut self, bucket: usize, is_dropped: impl Fn(&Record) -> bool) -> usize {
+    /// Drops the matching records of a bucket; returns their number.
+    fn drop_from(&mut self, bucket: usize, predicate: impl Fn(&Record) -> bool) -> usize {
         let (mut dropped, mut bytes) = (0, 0);
         self.buckets[bucket].retain(|_, record| {
-            let drops = is_dropped(record);
-            if drops {
+            let matches = predicate(record);
+            if matches {
                 dropped += 1;
                 bytes += record.memory_size();
             }
-            !drops
+            !matches
         });
         if dropped > 0 {
             self.len -= dropped;
@@ -158,14 +162,14 @@
         dropped
     }
 
-    /// Evicts the records that were not touched for longest.
+    /// Evicts the least recently touched records and raises the low watermark to cover them.
     fn evict(&mut self) {
-        let touched = self.iter().map(Record::last_touched);
-        let mut touched: Vec<Ticks> = touched.filter(|at| *at < Ticks::MAX).collect();
+        let last_touched = self.iter().map(Record::last_touched);
+        let mut touched: Vec<Ticks> = last_touched.filter(|at| *at < Ticks::MAX).collect();
         if touched.is_empty() {
             return;
         }
-        let evicted = touched.len() / EVICTED_FRACTION;
+        let evicted = touched.len() / EVICTION_DIVISOR;
         let (_, until, _) = touched.select_nth_unstable(evicted);
         let until = *until;
         self.raise_low_watermark(until);
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Drops the expired records of the next `buckets` buckets.
+    /// Drops the expired records of the next `buckets` buckets, and raises the low watermark over expired positions.
     pub fn expire(&mut self, now: Ticks, buckets: usize) {
         let limits = self.limits;
         let key_retention = if leverpoint_failpoint::plant("key-forgotten-early") {
@@ -201,18 +205,18 @@
         }
     }
 
-    /// Whether any hashes are out of date.
+    /// Whether the hashes of any bucket are out of date.
     #[must_use]
     pub fn has_stale_hashes(&self) -> bool {
         self.trees.is_stale()
     }
 
-    /// Starts the Merkle trees anew for a layout of so many replicas.
+    /// Resets the Merkle trees for a layout of `replicas` holders.
     pub fn reset_hashes(&mut self, replicas: usize) {
         self.trees.reset(replicas);
     }
 
-    /// Rehashes up to `buckets` buckets; `replicas` gives the indices of a record's replicas.
+    /// Rehashes up to `buckets` stale buckets; `replicas` returns the layout indices of a record's replica holders.
     pub fn rehash(&mut self, buckets: usize, replicas: impl Fn(RecordKey) -> Vec<usize>) {
         for _ in 0..buckets {
             let Some(bucket) = self.trees.pop_stale() else {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Hashes of the records shared with a replica: of one branch's buckets, or of all branches.
+    /// Hashes of the records shared with a replica holder: of the buckets of one branch, or of all branches for `None`.
     #[must_use]
     pub fn hashes(&self, replica: usize, branch: Option<usize>) -> Vec<u64> {
         match branch {
