--- a/crates/replication/src/action.rs
+++ b/crates/replication/src/action.rs
@@ -143,7 +143,7 @@
     QuorumLost,
     /// Enough replicas are reachable again; writes are acknowledged by a quorum.
     QuorumRestored,
-    /// The store has failed; nothing is persisted until the process is restarted.
+    /// Persisting has failed; the member persists nothing until its process is restarted.
     DiskFailed,
     /// A session's position could not be read exactly; reported at most once per lease duration.
     ReadInexact(InexactReadCause),
--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Anti-entropy: fetches the records that a new layout has reassigned to this member, and compares the records that two
-//! members share by a Merkle tree of hashes.
+//! Anti-entropy: fetches the records that a new layout has reassigned to this member, and compares the records shared
+//! with other members by Merkle trees.
 //!
-//! At most one request is out at a time, and not more records are asked for in a second than the repair rate allows.
+//! At most one request is in flight at a time, and requests are paced to the configured number of records per second.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,83 +14,86 @@
 use crate::placement::ReplicaId;
 use crate::repair_job::{JobProgress, RepairJob, RepairStage, Request};
 
-/// How often another member is compared with.
+/// Interval between periodic comparisons, each with the next member in turn.
 const COMPARISON_INTERVAL: Ticks = 50_000;
-/// After this time without a reply a job is dropped.
+/// A job is dropped if a request has had no reply for this time.
 const REQUEST_TIMEOUT: Ticks = 20_000;
-/// The interval of ticks while anything is to be repaired or hashed.
+/// Interval between ticks while there is anything to repair or rehash.
 const BUSY_TICK: Ticks = 100;
-/// The interval of ticks else.
+/// Interval between ticks otherwise.
 const IDLE_TICK: Ticks = 1_000;
-/// Buckets rehashed in one tick, and buckets looked through for expired records in one busy tick.
+/// Buckets rehashed per tick, and buckets searched for expired records per busy tick.
 const BUCKETS_PER_TICK: usize = 8;
-/// What a request costs the asked member besides records: a look through some buckets.
+/// Cost of a request to the peer besides the records sent, counted in records: it searches some buckets.
 const REQUEST_COST_IN_RECORDS: usize = 16;
-/// The ticks of a second, by which the repair rate is counted.
+/// Ticks per second; the repair rate is in records per second.
 const TICKS_PER_SECOND: usize = 10_000;
 
-/// What the last comparison with a member has come to.
+/// Result of the last comparison with a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Comparison {
     pub(crate) ended_at: Ticks,
     pub(crate) differing_buckets: usize,
+    /// Received records that were new to or changed this member's store.
     pub(crate) new_records: u64,
 }
 
-/// The repair of one member's records.
+/// Repair of this member's records: the job in progress, and the schedule of the next ones.
 #[derive(Debug, Default)]
 pub(crate) struct AntiEntropy {
     job: Option<RepairJob>,
     next_request_at: Ticks,
     next_comparison_at: Ticks,
     next_tick_at: Ticks,
-    /// Which member is compared with next.
-    turn: usize,
+    /// Selects the member of the next periodic comparison, modulo the number of other members.
+    round_robin_counter: usize,
+    /// Results by member name.
     comparisons: BTreeMap<String, Comparison>,
-    /// Members that an operator wants to be compared with now.
+    /// Members that an operator has requested a comparison with.
     requested: VecDeque<String>,
     out_of_sync_since: Option<Ticks>,
+    /// Duration of the last repair that brought this member in sync.
     last_repair: Option<Ticks>,
-    /// This member is about to persist that it is in sync with that layout.
+    /// Newest layout version for which persisting the in-sync state has begun.
     announced_version: u64,
 }
 
 impl AntiEntropy {
-    /// Compares with all other members, one after the other.
+    /// Requests a comparison with each other member in turn, and clears earlier results.
     pub(crate) fn start_comparison(&mut self, state: &MemberState) {
         self.comparisons.clear();
         self.requested = state.other_replicas().into();
     }
 
-    /// The last comparison with each member.
+    /// Result of the last comparison with each member, by name.
     pub(crate) fn comparisons(&self) -> &BTreeMap<String, Comparison> {
         &self.comparisons
     }
 
-    /// How many comparisons are under way or still to come.
+    /// Number of comparisons that are in progress or requested.
     pub(crate) fn remaining_comparisons(&self) -> usize {
         let comparing = self.job.as_ref().is_some_and(RepairJob::is_comparison);
         self.requested.len() + usize::from(comparing)
     }
 
-    /// How long the last repair took.
+    /// Duration of the last repair that brought this member in sync.
     pub(crate) fn last_repair(&self) -> Option<Ticks> {
         self.last_repair
     }
 
-    /// Another layout is in force: what was under way is of the one before.
+    /// Drops the job in progress, which belongs to the previous layout, and resets the Merkle trees.
     pub(crate) fn on_layout_changed(&mut self, state: &mut MemberState) {
         self.job = None;
         let holders = state.layout_history.newest_holders().count();
         state.store.reset_hashes(holders);
     }
 
-    /// When [`AntiEntropy::tick`] is wanted next.
+    /// Time at which [`AntiEntropy::tick`] is due.
     pub(crate) fn next_deadline(&self) -> Ticks {
         self.next_tick_at
     }
 
-    /// Expires and rehashes some records, and goes on with the repair.
+    /// Expires records and rehashes buckets, a bounded number each, and advances the repair.
     pub(crate) fn tick(&mut self, state: &mut MemberState, now: Ticks) {
         if now < self.next_tick_at {
             return;
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Persists that this member has all of its records, once it has.
+    /// Persists the in-sync state once this member has received all of its records.
     fn check_in_sync(&mut self, state: &mut MemberState, now: Ticks) {
         let layout_version = state.layout_history.version();
         let in_sync = state.sync.layout_version >= layout_version;
@@ -149,11 +152,12 @@
                 state.actions.push(Action::Notify(event));
             }
         }
-        // Others are told only once the records and the low watermark are persisted.
+        // Other members are informed only once the records and the low watermark are persisted.
         self.announced_version = layout_version;
         state.persist_metadata(Some(PendingCompletion::InSync { layout_version }));
     }
 
+    /// Next job: a pending transfer, else a comparison that is due.
     fn next_job(&mut self, state: &MemberState, now: Ticks) -> Option<RepairJob> {
         if let Some(peer) = next_transfer(state, now) {
             let stage = RepairStage::Reassigned {
@@ -162,14 +166,14 @@
             };
             return Some(RepairJob::new(state, peer, stage));
         }
-        let name = self.next_comparison(state, now)?;
+        let name = self.next_comparison_peer(state, now)?;
         let storage_id = state.leases.memory(&name);
         let peer = ReplicaId { name, storage_id };
         Some(RepairJob::new(state, peer, RepairStage::Branches))
     }
 
-    /// The member to compare with now, if it is in touch.
-    fn next_comparison(&mut self, state: &MemberState, now: Ticks) -> Option<String> {
+    /// Member to compare with, if a comparison is requested or due and the member is in touch.
+    fn next_comparison_peer(&mut self, state: &MemberState, now: Ticks) -> Option<String> {
         if !state.layout_history.is_known() {
             return None;
         }
@@ -179,13 +183,14 @@
             return None;
         }
         self.next_comparison_at = now + COMPARISON_INTERVAL;
-        self.turn += 1;
-        let name = requested.unwrap_or_else(|| others[self.turn % others.len()].clone());
+        self.round_robin_counter += 1;
+        let name =
+            requested.unwrap_or_else(|| others[self.round_robin_counter % others.len()].clone());
         let version = state.layout_history.version();
         state.leases.in_touch(now, &name, version).then_some(name)
     }
 
-    /// Sends the next request of the job under way.
+    /// Sends the next request of the job in progress, unless one is in flight.
     fn send_request(&mut self, state: &mut MemberState, now: Ticks) {
         let Some(job) = self.job.as_mut().filter(|job| job.request.is_none()) else {
             return;
@@ -199,6 +204,7 @@
         state.send(&name, id, message);
     }
 
+    /// Ends the job in progress and stores the result of its comparison.
     fn finish_comparison(&mut self, now: Ticks) {
         if let Some(job) = self.job.take() {
             let comparison = Comparison {
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Takes in the reply to the request that is out, if it is one.
+    /// Handles a reply, if it answers the request in flight, and paces the next request.
     pub(crate) fn on_reply(
         &mut self,
         state: &mut MemberState,
@@ -222,8 +228,8 @@
         let Some(job) = &mut self.job else {
             return;
         };
-        let asked = job.request.as_ref().is_some_and(|r| r.id == request_id);
-        if job.peer.name != peer.name || !asked {
+        let is_awaited = job.request.as_ref().is_some_and(|r| r.id == request_id);
+        if job.peer.name != peer.name || !is_awaited {
             return;
         }
         job.request = None;
@@ -251,9 +257,10 @@
     }
 }
 
-/// A member in touch that has yet to hand over what was reassigned to this one.
+/// A member in touch that has yet to hand over the records reassigned to this one.
 ///
-/// Only with the memory that a layout names it with has it what was acknowledged then.
+/// It has to have the storage id that a layout lists it with: other storage lacks what was acknowledged under that
+/// layout.
 fn next_transfer(state: &MemberState, now: Ticks) -> Option<ReplicaId> {
     let version = state.layout_history.version();
     if state.sync.layout_version >= version {
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -1,9 +1,10 @@
-//! State that all parts of one member share: its records, the layouts in force, its leases, and what waits for the disk.
+//! State that the components of one member share: its records, the layouts in force, its leases, and completions that
+//! wait for the disk.
 //!
 //! # Invariants
 //!
-//! A member acts as a replica only while it is in touch with more than half of its layout. Nothing counts as persisted
-//! before the runtime says so.
+//! A member acts as a replica only while it is in touch with more than half of its layout. Records count as persisted
+//! only after the runtime has confirmed it.
 
 use std::collections::BTreeSet;
 
@@ -22,50 +23,52 @@
 use crate::record_store::RecordStore;
 use crate::status::ReplicationCounters;
 
-/// Writers known to have ended.
+/// Maximum number of remembered writers that have ended; beyond it the one with the lowest id is forgotten.
 const MAX_ENDED_WRITERS: usize = 1_024;
 
-/// The number by which records name an incarnation of a gateway.
+/// Id by which records refer to one incarnation of a gateway.
 pub(crate) fn writer_id(name: &str, incarnation: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), incarnation)
 }
 
-/// Writes that are answered without a quorum.
+/// State of the writes that are served without a quorum.
 #[derive(Debug, Default)]
 pub(crate) struct DegradedMode {
-    /// Writes cleared without a quorum that are open.
+    /// Number of open writes that were cleared without a quorum.
     pub(crate) open_writes: usize,
-    /// All that was answered without a quorum lies before it.
+    /// Upper bound of the positions of all writes answered without a quorum; 0 if there were none.
     pub(crate) answered_until: Ticks,
-    /// Until then this member does not renew its leases.
+    /// Time until which this member does not renew its leases.
     pub(crate) leases_paused_until: Ticks,
 }
 
-/// How far this member takes part.
+/// Whether this member participates in replication.
 #[derive(Debug, Default)]
 pub(crate) struct Participation {
-    /// It is a member, and not leaving.
+    /// Whether this process is a member and is not leaving.
     pub(crate) active: bool,
-    /// This incarnation has been in touch with its layout as a replica: others miss it once it is silent.
+    /// Whether this incarnation has been in touch with a quorum of its layout as a replica, so that other members
+    /// notice when it is silent.
     pub(crate) has_met_quorum: bool,
 }
 
-/// How far this member has its records.
+/// How far this member has received its records.
 #[derive(Debug, Default)]
 pub(crate) struct SyncProgress {
-    /// It has all of its records up to that layout.
+    /// Newest layout version for which this member has received all of its records.
     pub(crate) layout_version: u64,
-    /// What was acknowledged up to then may be lost.
+    /// Writes acknowledged up to this time may be lost; 0 if none is.
     pub(crate) data_lost_until: Ticks,
 }
 
-/// The shared state of one member.
+/// Shared state of one member.
 pub(crate) struct MemberState {
     pub(crate) config: ReplicationConfig,
     pub(crate) local: LocalMember,
     pub(crate) layout_history: LayoutHistory,
     pub(crate) leases: LeaseTable,
     pub(crate) store: RecordStore,
+    /// Actions that the current call returns to the runtime.
     pub(crate) actions: Vec<Action>,
     pub(crate) counters: ReplicationCounters,
     pub(crate) degraded: DegradedMode,
@@ -73,6 +76,7 @@
     pub(crate) sync: SyncProgress,
     persistence: PersistenceQueue,
     last_request_id: u32,
+    /// Writer ids of incarnations that have ended, at most [`MAX_ENDED_WRITERS`].
     ended_writers: BTreeSet<u64>,
 }
 
@@ -95,11 +99,12 @@
         }
     }
 
-    /// The number by which records name this incarnation.
+    /// Id by which records refer to this incarnation.
     pub(crate) fn writer_id(&self) -> u64 {
         writer_id(&self.local.name, self.local.incarnation)
     }
 
+    /// This member as a replica, with its current storage id.
     pub(crate) fn local_replica(&self) -> ReplicaId {
         ReplicaId {
             name: self.local.name.clone(),
@@ -107,11 +112,13 @@
         }
     }
 
+    /// Draws a request id; never 0.
     pub(crate) fn next_request_id(&mut self) -> u32 {
         self.last_request_id = self.last_request_id.wrapping_add(1).max(1);
         self.last_request_id
     }
 
+    /// Queues a message to another member as an action.
     pub(crate) fn send(&mut self, to: &str, request_id: u32, message: Message) {
         self.counters.messages_sent += 1;
         let envelope = Envelope {
@@ -128,14 +135,14 @@
         });
     }
 
-    /// Persists records as they are held by now; `completion` waits for it.
+    /// Persists records in their current state in the store; `completion` waits for it.
     pub(crate) fn persist_records(
         &mut self,
         records: Vec<Record>,
         completion: Option<PendingCompletion>,
     ) {
         let low_watermark = self.store.low_watermark();
-        // The watermark that covers evicted records is persisted before any of them is written anew.
+        // The watermark that covers evicted records is persisted before any of them is written again.
         let risen = self.persistence.advance_low_watermark(low_watermark);
         let metadata = risen.then(|| self.metadata());
         self.push_persist(records, metadata, completion);
@@ -155,8 +162,8 @@
         metadata: Option<PersistedMetadata>,
         completion: Option<PendingCompletion>,
     ) {
-        let as_held = |record: Record| self.store.get(record.key).cloned().unwrap_or(record);
-        let records = records.into_iter().map(as_held).collect();
+        let current = |record: Record| self.store.get(record.key).cloned().unwrap_or(record);
+        let records = records.into_iter().map(current).collect();
         let sequence = self.persistence.enqueue(completion);
         self.actions.push(Action::Persist {
             sequence,
@@ -172,12 +179,13 @@
         }
     }
 
-    /// Takes what waited for persist actions up to this one, in order.
+    /// Removes and returns the completions that waited for persist actions up to `sequence`, in order.
     pub(crate) fn take_persisted(&mut self, sequence: u64) -> Vec<PendingCompletion> {
         self.persistence.take_persisted(sequence)
     }
 
-    /// Nothing is persisted any more: what waited for it is not answered.
+    /// Handles a disk failure: drops the waiting completions, whose requests are never answered, and reports the first
+    /// failure.
     pub(crate) fn on_persist_failed(&mut self) {
         if self.persistence.fail() {
             let event = ReplicationEvent::DiskFailed;
@@ -185,14 +193,14 @@
         }
     }
 
-    /// Whether the newest layout names this member with its memory.
+    /// Whether the newest layout lists this member with its current storage id.
     pub(crate) fn is_replica(&self) -> bool {
         self.layout_history
             .newest()
             .is_some_and(|layout| layout.has_holder(&self.local.name, self.local.storage_id))
     }
 
-    /// The names of the newest layout's other members.
+    /// Names of the other members of the newest layout.
     pub(crate) fn other_replicas(&self) -> Vec<String> {
         let holders = self.layout_history.newest_holders();
         holders
@@ -201,17 +209,19 @@
             .collect()
     }
 
+    /// Whether a replica is this member with its current storage id.
     pub(crate) fn is_local(&self, replica: &ReplicaId) -> bool {
         replica.name == self.local.name && replica.storage_id == self.local.storage_id
     }
 
-    /// Whether requests may be sent to a member: another one that is in touch by the newest layout.
+    /// Whether requests may be sent to a member: it is another one, and in touch under the newest layout.
     pub(crate) fn is_reachable(&self, now: Ticks, name: &str) -> bool {
         let version = self.layout_history.version();
         self.leases.in_touch(now, name, version) && name != self.local.name
     }
 
-    /// Whether more than half of the newest layout has answered by it within a lease.
+    /// Whether more than half of the newest layout's members, this one included, are in touch: they have answered a
+    /// renewal under this layout within a lease.
     pub(crate) fn has_layout_quorum(&self, now: Ticks) -> bool {
         let Some(layout) = self.layout_history.newest() else {
             return false;
@@ -223,7 +233,7 @@
         in_touch.count() > layout.holders.len() / 2
     }
 
-    /// Why this member does not act as a replica of that layout now, if so.
+    /// Why this member rejects requests under a layout version; `None` if it acts as a replica.
     pub(crate) fn reject_reason(&self, now: Ticks, layout_version: u64) -> Option<RejectReason> {
         if layout_version != self.layout_history.version() {
             return Some(RejectReason::LayoutMismatch);
@@ -237,11 +247,14 @@
         (!self.has_layout_quorum(now)).then_some(RejectReason::Partitioned)
     }
 
+    /// Whether another write may wait for the disk.
     pub(crate) fn has_capacity(&self) -> bool {
         self.persistence.has_capacity()
     }
 
-    /// Whether a member other than `except` may be serving without a quorum, as far as is known here.
+    /// Whether a member other than `except` may be serving without a quorum, as far as this member knows.
+    ///
+    /// This member itself counts while it serves without a quorum; without a layout any member may.
     pub(crate) fn is_partitioned(&self, now: Ticks, except: &str) -> bool {
         if plant("alone-unseen") {
             return false;
@@ -251,7 +264,7 @@
             || self.unaccounted_members(now).any(|name| name != except)
     }
 
-    /// Other members of the newest layout that may be serving without a quorum, as far as is known here.
+    /// Other members of the newest layout whose lease has expired, so that they may be serving without a quorum.
     pub(crate) fn unaccounted_members(&self, now: Ticks) -> impl Iterator<Item = &str> {
         let holders = self.layout_history.newest_holders();
         let unaccounted = holders.filter(move |holder| {
@@ -263,7 +276,7 @@
         unaccounted.map(|holder| holder.name.as_str())
     }
 
-    /// Whether other replicas notice that this member is silent: only then may it serve without a quorum.
+    /// Whether other replicas notice when this member is silent: only then may it serve without a quorum.
     pub(crate) fn is_monitored_by_peers(&self) -> bool {
         self.is_replica()
             && self.participation.active
@@ -271,7 +284,7 @@
             && self.layout_history.is_known()
     }
 
-    /// A member that was not accounted for is gone: whatever it answered lies before now.
+    /// Raises the low watermark over all that an incarnation may have answered without a quorum, once it has ended.
     pub(crate) fn on_lease_change(&mut self, now: Ticks, change: LeaseChange) {
         let until = now + self.config.max_clock_skew;
         if change == LeaseChange::UnaccountedIncarnationEnded
@@ -281,7 +294,7 @@
         }
     }
 
-    /// A write without a quorum has finished, at that position if it may have been executed.
+    /// Counts a write without a quorum as finished; `executed` is its position if it may have been executed.
     pub(crate) fn on_degraded_write_finished(&mut self, now: Ticks, executed: Option<Ticks>) {
         self.degraded.open_writes = self.degraded.open_writes.saturating_sub(1);
         if let Some(position) = executed {
@@ -291,7 +304,7 @@
         }
     }
 
-    /// An incarnation has ended: it finishes no write any more.
+    /// Remembers that an incarnation has ended, so that its open writes will not finish.
     pub(crate) fn on_writer_ended(&mut self, writer: u64) {
         self.ended_writers.insert(writer);
         if self.ended_writers.len() > MAX_ENDED_WRITERS {
@@ -299,13 +312,14 @@
         }
     }
 
-    /// Whether no write of that writer, begun at that time, can be open any more.
+    /// Whether a write that a writer began at this time can't be open any more: the writer has ended, or the longest
+    /// duration of a write has passed.
     pub(crate) fn has_write_ended(&self, now: Ticks, writer: u64, begun_at: Ticks) -> bool {
         let longest = self.config.max_write_duration + self.config.max_clock_skew;
         self.ended_writers.contains(&writer) || now - begun_at > longest
     }
 
-    /// Merges records into the store as a replica; those of keys as they are then.
+    /// Merges records into the store as a replica; returns the merged records of idempotency keys.
     pub(crate) fn merge_records(&mut self, records: &[Record]) -> Vec<Record> {
         self.counters.records_written += records.len() as u64;
         let mut merged = Vec::new();
@@ -321,6 +335,7 @@
         merged
     }
 
+    /// Copy of the stored record of a key.
     pub(crate) fn get_record(&self, key: RecordKey) -> Option<Record> {
         self.store.get(key).cloned()
     }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -45,7 +45,7 @@
     Partitioned,
     /// Too many of its writes wait to be persisted.
     Overloaded,
-    /// Its store has failed.
+    /// Its disk has failed, so that it can't persist records.
     DiskFailed,
     /// The layout does not list it with its current storage id.
     NotAReplica,
--- a/crates/replication/src/outbound_queue.rs
+++ b/crates/replication/src/outbound_queue.rs
@@ -1,7 +1,8 @@
-//! Outbound queues to the other replicas: records and keys that wait for a message, and requests in flight.
+//! Outbound queues to the other replicas: records and keys to be sent, and requests in flight.
 //!
-//! A replica has at most [`MAX_IN_FLIGHT`] requests in flight. Beyond [`BATCHING_THRESHOLD`] of them only full batches
-//! are sent, so that what arrives meanwhile travels together. Records for an unreachable replica become hints.
+//! Each replica has at most [`MAX_IN_FLIGHT`] requests in flight. From [`BATCHING_THRESHOLD`] on, only full batches are
+//! sent, so that records and keys that arrive meanwhile share a message. Records for an unreachable replica are stored as
+//! hints.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,97 +14,103 @@
 use crate::placement::ReplicaId;
 use crate::record::{Record, RecordKey};
 
-/// The number of a write or read that waits for replicas.
+/// Id of a write or read that waits for replies of replicas.
 pub(crate) type OperationId = u64;
 
-/// The operation of a record that nobody waits for.
+/// Operation id of records whose acknowledgement no operation waits for.
 pub(crate) const NO_OPERATION: OperationId = 0;
 
-/// With so many requests in flight to a replica only full batches are sent.
+/// Number of requests in flight to a replica from which on only full batches are sent.
 const BATCHING_THRESHOLD: usize = 4;
-/// Requests in flight to one replica at most.
+/// Maximum number of requests in flight to one replica.
 const MAX_IN_FLIGHT: usize = 64;
-/// Records, and keys, queued for one replica at most.
+/// Maximum number of records, and of keys, queued for one replica.
 const MAX_QUEUED: usize = 4_096;
-/// Hints are tried again after this part of a lease.
+/// Delivery attempts of hints per lease duration.
 const HINT_ATTEMPTS_PER_LEASE: Ticks = 8;
-/// A request without a reply fails after this part of a lease.
+/// Request timeouts per lease duration: a request without a reply fails after half a lease.
 const REQUEST_TIMEOUTS_PER_LEASE: Ticks = 2;
-/// A reply that takes longer than this many usual ones is slow.
-const SLOW_FACTOR: Ticks = 4;
-/// The least time after which a reply is slow: a disk takes a moment.
-const MIN_SLOW: Ticks = 30;
-/// The weight of the past in the usual response time.
+/// A reply that takes longer than this multiple of the average response time is slow.
+const SLOW_RESPONSE_FACTOR: Ticks = 4;
+/// Lower bound of the time after which a reply is slow, 3 ms: a reply includes a disk write.
+const MIN_SLOW_AFTER: Ticks = 30;
+/// Weight of past responses in the moving average of the response time.
 const RESPONSE_TIME_WEIGHT: Ticks = 16;
 
-/// A record on its way to one replica, and the operation that waits for it.
+/// Record to be written to one replica, and the operation that waits for its acknowledgement.
 #[derive(Debug)]
 pub(crate) struct QueuedWrite {
     pub(crate) record: Record,
     pub(crate) operation: OperationId,
 }
 
-/// A key asked of one replica, and the operation that waits for it.
+/// Key to be read from one replica, and the operation that waits for the reply.
 #[derive(Debug)]
 pub(crate) struct QueuedRead {
     pub(crate) key: RecordKey,
     pub(crate) operation: OperationId,
 }
 
-/// What one request carries.
+/// Contents of one request.
 #[derive(Debug)]
 pub(crate) enum Batch {
     Writes(Vec<QueuedWrite>),
     Reads(Vec<QueuedRead>),
 }
 
+/// Request that waits for its reply.
 #[derive(Debug)]
-struct InFlight {
+struct InFlightRequest {
     sent_at: Ticks,
     batch: Batch,
 }
 
-/// Whether a replica can get what was handed over for it.
+/// Whether a record or key was accepted for delivery to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum Delivery {
+    /// It is queued, or was merged into this member's own store.
     Accepted,
+    /// It is not queued; a record may have been stored as a hint.
     Rejected,
 }
 
+/// Queued records and keys, requests in flight and hints of one replica.
 #[derive(Debug, Default)]
 struct OutboundQueue {
     writes: VecDeque<QueuedWrite>,
     reads: VecDeque<QueuedRead>,
-    in_flight: BTreeMap<u32, InFlight>,
+    /// By request id.
+    in_flight: BTreeMap<u32, InFlightRequest>,
     hints: HintBuffer,
 }
 
-/// The outbound queues of all other replicas, by member name.
+/// Outbound queues of all other replicas, by member name.
 #[derive(Debug, Default)]
 pub(crate) struct OutboundQueues {
     queues: BTreeMap<String, OutboundQueue>,
-    /// Moving sum of response times, [`RESPONSE_TIME_WEIGHT`] times the usual one.
+    /// Exponential moving average of the response times of all replicas, times [`RESPONSE_TIME_WEIGHT`].
     response_time: Ticks,
 }
 
 impl OutboundQueues {
-    /// The number of hints kept, for all replicas.
+    /// Number of stored hints for all replicas.
     pub(crate) fn hinted(&self) -> usize {
         self.queues.values().map(|queue| queue.hints.len()).sum()
     }
 
-    /// The number of records queued, for all replicas.
+    /// Number of queued records for all replicas.
     pub(crate) fn queued(&self) -> usize {
         self.queues.values().map(|queue| queue.writes.len()).sum()
     }
 
-    /// How long a replica may take before it counts as slow.
+    /// Time without a reply after which a replica counts as slow.
     pub(crate) fn slow_after(&self) -> Ticks {
-        (self.response_time * SLOW_FACTOR / RESPONSE_TIME_WEIGHT).max(MIN_SLOW)
+        (self.response_time * SLOW_RESPONSE_FACTOR / RESPONSE_TIME_WEIGHT).max(MIN_SLOW_AFTER)
     }
 
-    /// Hands a record over for one replica: merged here, queued, or kept as a hint and rejected.
+    /// Delivers a record to one replica: merges it if the replica is this member, otherwise queues it, or stores it as a
+    /// hint and rejects it if the replica is unreachable or its queue is full.
     pub(crate) fn offer_write(
         &mut self,
         state: &mut MemberState,
@@ -126,7 +133,7 @@
         Delivery::Rejected
     }
 
-    /// Queues a key to be read at another replica.
+    /// Queues a key to be read from another replica; rejects it if the replica is unreachable or its queue is full.
     pub(crate) fn offer_read(
         &mut self,
         state: &MemberState,
@@ -144,7 +151,7 @@
         Delivery::Accepted
     }
 
-    /// Sends a record to these replicas; nobody waits for it.
+    /// Sends a record to these replicas without waiting for acknowledgements.
     pub(crate) fn send_record(
         &mut self,
         state: &mut MemberState,
@@ -153,41 +160,42 @@
         replicas: &BTreeSet<ReplicaId>,
     ) {
         for replica in replicas {
-            // A replica that rejects it gets it as a hint or by anti-entropy.
+            // A replica that rejects the record receives it as a hint or by anti-entropy.
             let _ = self.offer_write(state, now, record, NO_OPERATION, replica);
         }
         self.flush(state, now);
     }
 
-    /// Sends a record to all its replicas in all layouts in force; nobody waits for it.
+    /// Sends a record to its replicas in all layouts in force without waiting for acknowledgements.
     pub(crate) fn publish(&mut self, state: &mut MemberState, now: Ticks, record: &Record) {
         let replicas = state.layout_history.all_replicas(record.key);
         self.send_record(state, now, record, &replicas);
     }
 
-    /// Whether that write is queued for or in flight to a member.
+    /// Whether an operation's write of a key is queued for, or in flight to, a member.
     pub(crate) fn has_write(&self, name: &str, operation: OperationId, key: RecordKey) -> bool {
-        let is_it = |write: &QueuedWrite| (write.operation, write.record.key) == (operation, key);
+        let is_match =
+            |write: &QueuedWrite| (write.operation, write.record.key) == (operation, key);
         self.queues.get(name).is_some_and(|queue| {
-            queue.writes.iter().any(is_it)
+            queue.writes.iter().any(is_match)
                 || queue
                     .in_flight
                     .values()
                     .any(|request| match &request.batch {
-                        Batch::Writes(writes) => writes.iter().any(is_it),
+                        Batch::Writes(writes) => writes.iter().any(is_match),
                         Batch::Reads(_) => false,
                     })
         })
     }
 
-    /// Sends what is queued, as far as the bounds of requests in flight allow.
+    /// Sends queued records and keys, as far as the bounds of requests in flight allow.
     pub(crate) fn flush(&mut self, state: &mut MemberState, now: Ticks) {
         for (name, queue) in &mut self.queues {
             queue.flush(state, now, name);
         }
     }
 
-    /// Takes the request that a reply answers, if it is in flight.
+    /// Removes the request that a reply answers and updates the average response time; `None` if it is not in flight.
     pub(crate) fn take_answered(
         &mut self,
         now: Ticks,
@@ -199,34 +207,34 @@
         Some(request.batch)
     }
 
-    /// Takes a request out of flight without a reply.
+    /// Removes a request that has failed or timed out; `None` if it is not in flight.
     pub(crate) fn take_failed(&mut self, name: &str, request_id: u32) -> Option<Batch> {
         let request = self.queues.get_mut(name)?.in_flight.remove(&request_id)?;
         Some(request.batch)
     }
 
-    /// Requests that have had no reply for too long: to whom, and their numbers.
+    /// Member name and request id of each request that has timed out.
     pub(crate) fn timed_out(&self, now: Ticks, lease: Ticks) -> Vec<(String, u32)> {
         let timeout = lease / REQUEST_TIMEOUTS_PER_LEASE;
         let mut timed_out = Vec::new();
         for (name, queue) in &self.queues {
-            let old = queue
+            let expired = queue
                 .in_flight
                 .iter()
                 .filter(|(_, request)| now - request.sent_at > timeout);
-            timed_out.extend(old.map(|(request_id, _)| (name.clone(), *request_id)));
+            timed_out.extend(expired.map(|(request_id, _)| (name.clone(), *request_id)));
         }
         timed_out
     }
 
-    /// Keeps a record as a hint for a member that has a queue.
+    /// Stores a record as a hint for a member; ignored if the member has no queue.
     pub(crate) fn store_hint(&mut self, state: &mut MemberState, name: &str, record: &Record) {
         if let Some(queue) = self.queues.get_mut(name) {
             queue.store_hint(state, record);
         }
     }
 
-    /// Queues the hints of a replica that is in touch again.
+    /// Queues and sends the hints for a replica that is in touch again.
     pub(crate) fn send_hints(&mut self, state: &mut MemberState, now: Ticks, name: &str) {
         let Some(queue) = self.queues.get_mut(name) else {
             return;
@@ -243,7 +251,7 @@
         self.flush(state, now);
     }
 
-    /// Sends the hints that are due to replicas in touch.
+    /// Sends the hints that are due, to replicas in touch.
     pub(crate) fn send_due_hints(&mut self, state: &mut MemberState, now: Ticks) {
         let version = state.layout_history.version();
         let due: Vec<String> = self
@@ -259,7 +267,7 @@
         }
     }
 
-    /// Drops the queues of members that are in no layout any more and have nothing in flight.
+    /// Drops the queues of other members than these, unless requests to them are in flight.
     pub(crate) fn retain_members(&mut self, members: &BTreeSet<String>) {
         self.queues
             .retain(|name, queue| members.contains(name) || !queue.in_flight.is_empty());
@@ -328,7 +336,7 @@
         message: Message,
     ) {
         let request_id = state.next_request_id();
-        let request = InFlight {
+        let request = InFlightRequest {
             sent_at: now,
             batch,
         };
@@ -337,7 +345,7 @@
     }
 }
 
-/// Merges a record into this member's own store, where it acts as a replica now.
+/// Merges and persists a record in this member's own store; rejected if it does not act as a replica now.
 fn write_locally(
     state: &mut MemberState,
     now: Ticks,
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! What waits for the disk: replies and steps that may be taken only once records are persisted.
+//! Completions that wait for the disk: replies and state changes that are due only once records are persisted.
 
 use std::collections::VecDeque;
 
@@ -7,32 +7,32 @@
 use crate::outbound_queue::OperationId;
 use crate::record::RecordKey;
 
-/// Completions that wait at most; a replica that has more to do rejects writes.
+/// Maximum number of waiting completions; a replica at this bound rejects writes.
 const MAX_WAITING: usize = 4_096;
 
-/// A step that is taken once what it stands on is persisted.
+/// Step that is due once the persist action it depends on is done.
 #[derive(Debug)]
 pub(crate) enum PendingCompletion {
-    /// A reply to another member.
+    /// Sends a reply to another member.
     Reply {
         to: String,
         request_id: u32,
         message: Message,
     },
-    /// A record of one of this member's own operations.
+    /// Counts this member's acknowledgement of a record of its own operation.
     LocalWrite {
         operation: OperationId,
         key: RecordKey,
     },
-    /// All records that a member had for this one under that layout.
+    /// Marks the transfer of reassigned records from a member under a layout as complete.
     TransferReceived {
         name: String,
         storage_id: u64,
         layout_version: u64,
     },
-    /// All records that are this member's under that layout.
+    /// Marks this member as in sync with a layout: it has received all of its records.
     InSync { layout_version: u64 },
-    /// A lease whose renewal came with a higher low watermark.
+    /// Renews the lease of a member whose renewal has raised the low watermark.
     LeaseRenewed {
         to: String,
         request_id: u32,
@@ -40,19 +40,20 @@
     },
 }
 
-/// What a member says of itself when it renews its lease.
+/// Contents of a lease renewal by another member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseRenewal {
-    /// The time of this member's clock that it echoes; 0 while it serves without a quorum.
+    /// Time of this member's clock that the renewal echoes; 0 while the other member serves without a quorum.
     pub(crate) echoed_time: Ticks,
-    /// It has all of its records up to that layout.
+    /// Newest layout version for which the other member has received all of its records.
     pub(crate) synced_version: u64,
 }
 
-/// The sequence of persist actions and what waits for each.
+/// Sequence numbers of persist actions, and the completions that wait for them.
 #[derive(Debug, Default)]
 pub(crate) struct PersistenceQueue {
     last_sequence: u64,
+    /// Completions in order of the sequence number that they wait for.
     waiting: VecDeque<(u64, PendingCompletion)>,
     persisted_low_watermark: Ticks,
     failed: bool,
@@ -64,12 +65,12 @@
         self.failed
     }
 
-    /// Whether another write may wait.
+    /// Whether another completion may be enqueued.
     pub(crate) fn has_capacity(&self) -> bool {
         self.waiting.len() < MAX_WAITING
     }
 
-    /// Numbers a persist action; `completion` waits for it.
+    /// Assigns the next sequence number to a persist action; `completion` waits for it.
     pub(crate) fn enqueue(&mut self, completion: Option<PendingCompletion>) -> u64 {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
@@ -78,23 +79,26 @@
         sequence
     }
 
-    /// Notes the low watermark that is persisted next; whether it has risen.
+    /// Records the low watermark that the next persist action writes; returns whether it has risen.
     pub(crate) fn advance_low_watermark(&mut self, low_watermark: Ticks) -> bool {
         let risen = low_watermark > self.persisted_low_watermark;
         self.persisted_low_watermark = low_watermark;
         risen
     }
 
-    /// Takes what waited for actions up to this one, in order.
+    /// Removes and returns the completions that waited for persist actions up to `sequence`, in order.
     pub(crate) fn take_persisted(&mut self, sequence: u64) -> Vec<PendingCompletion> {
         let mut completions = Vec::new();
-        while let Some((_, completion)) = self.waiting.pop_front_if(|(n, _)| *n <= sequence) {
+        while let Some((_, completion)) = self
+            .waiting
+            .pop_front_if(|(waits_for, _)| *waits_for <= sequence)
+        {
             completions.push(completion);
         }
         completions
     }
 
-    /// Nothing is persisted any more: drops what waits. Whether that is news.
+    /// Marks the disk as failed and drops all waiting completions; returns whether this is the first failure.
     pub(crate) fn fail(&mut self) -> bool {
         self.waiting.clear();
         !std::mem::replace(&mut self.failed, true)
--- a/crates/replication/src/repair_job.rs
+++ b/crates/replication/src/repair_job.rs
@@ -1,4 +1,5 @@
-//! One repair: a comparison with a member by a Merkle tree, or the transfer of what was reassigned to this one.
+//! A single repair job: comparison with one member by Merkle trees, or transfer of the records that a new layout has
+//! reassigned from that member to this one.
 
 use std::collections::VecDeque;
 
@@ -9,51 +10,61 @@
 use crate::placement::ReplicaId;
 use crate::record::{Record, RecordKey};
 
-/// How far a job is.
+/// Stage of a repair job.
 #[derive(Debug)]
 pub(crate) enum RepairStage {
     /// Compares the hashes of all branches.
     Branches,
-    /// Compares the hashes of the buckets of the branches that differ.
+    /// Compares the hashes of the buckets in the branches that differ.
     Buckets {
+        /// Differing branches that are still to be compared.
         branches: VecDeque<u16>,
+        /// Buckets found to differ.
         differing: VecDeque<u16>,
     },
     /// Fetches the records of the buckets that differ.
     Records {
+        /// Buckets that are still to be fetched.
         buckets: VecDeque<u16>,
+        /// Last key received from the first of these buckets.
         after: Option<RecordKey>,
     },
-    /// Fetches what has been reassigned to this member.
+    /// Fetches the records that have been reassigned to this member.
     Reassigned {
         from_bucket: u16,
+        /// Last key received from `from_bucket`.
         after: Option<RecordKey>,
     },
 }
 
+/// Request that waits for its reply.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) id: u32,
     pub(crate) sent_at: Ticks,
 }
 
-/// A comparison with or a transfer from one member.
+/// Comparison with, or transfer from, one member.
 #[derive(Debug)]
 pub(crate) struct RepairJob {
     pub(crate) peer: ReplicaId,
     pub(crate) layout_version: u64,
     pub(crate) stage: RepairStage,
+    /// Request in flight, if there is one.
     pub(crate) request: Option<Request>,
     pub(crate) differing_buckets: usize,
+    /// Received records that were new to or changed this member's store.
     pub(crate) new_records: u64,
 }
 
-/// What a reply has made of a job.
+/// Progress of a job after a reply.
 pub(crate) enum JobProgress {
+    /// Further requests are needed.
     Continues,
-    /// All that was asked for is here.
+    /// All requested records have been received.
     Ended,
-    /// The peer goes by another layout, or is out of touch: the job is tried again later.
+    /// The reply does not match the stage, as the peer has another layout or rejects the request; the job is retried
+    /// later.
     Unexpected,
 }
 
@@ -73,11 +84,11 @@
         !matches!(self.stage, RepairStage::Reassigned { .. })
     }
 
-    /// The next request; none once a comparison is done.
+    /// Next request of the job; `None` once a comparison is complete.
     pub(crate) fn next_request(&mut self, state: &MemberState) -> Option<Message> {
         let index = state.layout_history.index_of(&self.peer.name);
         let index = index.unwrap_or(usize::MAX);
-        let hashes = |branch: Option<u16>| Message::CompareHashes {
+        let compare_hashes = |branch: Option<u16>| Message::CompareHashes {
             branch,
             hashes: state.store.hashes(index, branch.map(usize::from)),
         };
@@ -87,7 +98,7 @@
         } = &mut self.stage
         {
             if let Some(branch) = branches.front() {
-                return Some(hashes(Some(*branch)));
+                return Some(compare_hashes(Some(*branch)));
             }
             self.differing_buckets = differing.len();
             self.stage = RepairStage::Records {
@@ -96,7 +107,7 @@
             };
         }
         match &self.stage {
-            RepairStage::Branches | RepairStage::Buckets { .. } => Some(hashes(None)),
+            RepairStage::Branches | RepairStage::Buckets { .. } => Some(compare_hashes(None)),
             RepairStage::Records { buckets, after } => {
                 let (bucket, after) = (*buckets.front()?, *after);
                 Some(Message::FetchBucket { bucket, after })
@@ -108,6 +119,7 @@
         }
     }
 
+    /// Handles the reply to the request in flight.
     pub(crate) fn take_reply(&mut self, state: &mut MemberState, message: &Message) -> JobProgress {
         match (message, &mut self.stage) {
             (Message::DifferingNodes { nodes }, RepairStage::Branches) => {
@@ -124,7 +136,7 @@
                 },
             ) => {
                 if let Some(branch) = branches.pop_front() {
-                    differing.extend(nodes.iter().map(|at| branch * TREE_FANOUT as u16 + at));
+                    differing.extend(nodes.iter().map(|node| branch * TREE_FANOUT as u16 + node));
                 }
             }
             (
@@ -132,7 +144,7 @@
                 RepairStage::Records { buckets, after },
             ) => {
                 self.new_records += merge_new(state, records);
-                *after = next.as_ref().and_then(|(_, last)| *last);
+                *after = next.as_ref().and_then(|(_, last_key)| *last_key);
                 if next.is_none() {
                     buckets.pop_front();
                 }
@@ -145,6 +157,7 @@
         JobProgress::Continues
     }
 
+    /// Merges a batch of reassigned records; the transfer is complete once the last batch is persisted.
     pub(crate) fn take_reassigned(
         &mut self,
         state: &mut MemberState,
@@ -159,7 +172,7 @@
             return JobProgress::Unexpected;
         };
         merge_new(state, records);
-        // What the peer has evicted this member can't get from it.
+        // The peer can't hand over records that it has evicted.
         if state.store.raise_low_watermark(*low_watermark) {
             state.persist_metadata(None);
         }
@@ -180,7 +193,7 @@
     }
 }
 
-/// Merges and persists the records of another member; how many were new here.
+/// Merges records of another member and persists those that changed the store; returns their number.
 pub(crate) fn merge_new(state: &mut MemberState, records: &[Record]) -> u64 {
     let new: Vec<Record> = records
         .iter()
--- a/crates/replication/src/request_handler.rs
+++ b/crates/replication/src/request_handler.rs
@@ -1,8 +1,9 @@
-//! What a replica does for other members: persists and reads records, compares hashes, hands over what was reassigned.
+//! Handles requests of other members: persists and reads records, compares hashes, and hands over reassigned records.
 //!
 //! # Invariants
 //!
-//! A request is answered only by the layout that the asker goes by; a write is acknowledged only once it is persisted.
+//! A replica serves a request only if its newest layout is the requester's. A write is acknowledged only once it is
+//! persisted.
 
 use crate::Ticks;
 use crate::member_state::MemberState;
@@ -14,10 +15,10 @@
 use crate::record::{Record, RecordKey};
 use crate::record_store::BUCKETS;
 
-/// Records looked at for one message at most, which takes a millisecond.
+/// Maximum number of records scanned for one message, which takes about 1 ms.
 const MAX_RECORDS_SCANNED: usize = 2_048;
 
-/// Handles a request; other messages change nothing.
+/// Handles a request; ignores other messages.
 pub(crate) fn handle(state: &mut MemberState, now: Ticks, envelope: &Envelope) {
     let (to, request_id) = (envelope.sender.as_str(), envelope.request_id);
     match &envelope.message {
@@ -63,7 +64,7 @@
     }
 }
 
-/// Renews the lease of a member and replies with this member's time.
+/// Renews the lease of a member, and replies with the current time, which its next renewal echoes.
 pub(crate) fn renew_lease(
     state: &mut MemberState,
     now: Ticks,
@@ -80,6 +81,7 @@
     state.send(to, request_id, reply);
 }
 
+/// Reply to [`Message::QueryLayouts`] of a member with this newest layout version.
 fn layouts_in_force(state: &MemberState, layout_version: u64) -> Message {
     let history = &state.layout_history;
     if layout_version != history.version() {
@@ -97,15 +99,17 @@
     }
 }
 
+/// Counts and rejects a request.
 fn reject(state: &mut MemberState, to: &str, request_id: u32, reason: RejectReason) {
     state.counters.requests_rejected += 1;
     state.send(to, request_id, Message::Rejected { reason });
 }
 
+/// Handles a request that only a replica under the requester's layout serves.
 fn handle_as_replica(state: &mut MemberState, now: Ticks, envelope: &Envelope) {
     let (to, request_id) = (envelope.sender.as_str(), envelope.request_id);
     let reply = match &envelope.message {
-        Message::Write { records } => return write(state, now, to, request_id, records),
+        Message::Write { records } => return handle_write(state, now, to, request_id, records),
         Message::Read { keys } => {
             let reply = |key: &RecordKey| record_reply(state, now, to, *key);
             Message::ReadReply {
@@ -120,12 +124,12 @@
             record_batch(state, records, next)
         }
         Message::FetchReassigned { from_bucket, after } => {
-            let asker = ReplicaId {
+            let requester = ReplicaId {
                 name: envelope.sender.clone(),
                 storage_id: envelope.storage_id,
             };
             let (records, next) =
-                reassigned_records(state, &asker, usize::from(*from_bucket), *after);
+                reassigned_records(state, &requester, usize::from(*from_bucket), *after);
             record_batch(state, records, next)
         }
         _ => return,
@@ -133,6 +137,7 @@
     state.send(to, request_id, reply);
 }
 
+/// Builds a batch of records with this member's low watermark.
 fn record_batch(state: &MemberState, records: Vec<Record>, next: Option<BatchPosition>) -> Message {
     Message::RecordBatch {
         records,
@@ -141,7 +146,14 @@
     }
 }
 
-fn write(state: &mut MemberState, now: Ticks, to: &str, request_id: u32, records: &[Record]) {
+/// Merges records; acknowledges them once they are persisted.
+fn handle_write(
+    state: &mut MemberState,
+    now: Ticks,
+    to: &str,
+    request_id: u32,
+    records: &[Record],
+) {
     if !state.has_capacity() {
         return reject(state, to, request_id, RejectReason::Overloaded);
     }
@@ -158,44 +170,46 @@
     state.persist_records(records.to_vec(), Some(reply));
 }
 
-/// This replica's reply to a read of one record.
+/// Reply of this replica to a read of one record.
+///
+/// Only records that are read by quorum report partitioned members.
 pub(crate) fn record_reply(
     state: &MemberState,
     now: Ticks,
-    asker: &str,
+    requester: &str,
     key: RecordKey,
 ) -> RecordReply {
-    let by_quorum = matches!(key, RecordKey::Session(_) | RecordKey::KeyedRequest(_));
+    let is_quorum_read = matches!(key, RecordKey::Session(_) | RecordKey::KeyedRequest(_));
     RecordReply {
         record: state.get_record(key),
         low_watermark: state.store.low_watermark(),
-        partitioned: by_quorum && state.is_partitioned(now, asker),
+        partitioned: is_quorum_read && state.is_partitioned(now, requester),
     }
 }
 
-/// The nodes of the Merkle tree whose hashes differ here.
+/// Indices of the Merkle tree nodes whose hashes differ from the requester's.
 fn differing_nodes(
     state: &MemberState,
-    asker: &str,
+    requester: &str,
     branch: Option<usize>,
-    theirs: &[u64],
+    requester_hashes: &[u64],
 ) -> Vec<u16> {
-    let index = state.layout_history.index_of(asker);
-    let ours = index.map_or(vec![0; TREE_FANOUT], |index| {
+    let index = state.layout_history.index_of(requester);
+    let local_hashes = index.map_or(vec![0; TREE_FANOUT], |index| {
         state.store.hashes(index, branch)
     });
-    let differing = (0..TREE_FANOUT).filter(|node| ours[*node] != theirs[*node]);
+    let differing = (0..TREE_FANOUT).filter(|node| local_hashes[*node] != requester_hashes[*node]);
     differing.map(|node| node as u16).collect()
 }
 
-/// The records of a bucket whose replica the asker is as well.
+/// Records of a bucket that this member and the requester both hold, and the start of the next batch.
 fn shared_bucket(
     state: &MemberState,
-    asker: &str,
+    requester: &str,
     bucket: u16,
     after: Option<RecordKey>,
 ) -> (Vec<Record>, Option<BatchPosition>) {
-    let index = state.layout_history.index_of(asker);
+    let index = state.layout_history.index_of(requester);
     let is_shared = |record: &&Record| {
         let replicas = state.layout_history.replica_indices(record.key);
         after.is_none_or(|after| record.key > after)
@@ -214,10 +228,10 @@
     (records, next)
 }
 
-/// Some of the records that were reassigned to the asker, and where the next ones begin.
+/// A batch of the records that were reassigned to the requester, and the start of the next batch.
 fn reassigned_records(
     state: &MemberState,
-    asker: &ReplicaId,
+    requester: &ReplicaId,
     from_bucket: usize,
     mut after: Option<RecordKey>,
 ) -> (Vec<Record>, Option<BatchPosition>) {
@@ -229,8 +243,8 @@
         }
         for record in state.store.bucket_records(bucket) {
             scanned += 1;
-            let is_sent = after.is_some_and(|after| record.key <= after);
-            if is_sent || !state.layout_history.is_reassigned(record.key, asker) {
+            let already_sent = after.is_some_and(|after| record.key <= after);
+            if already_sent || !state.layout_history.is_reassigned(record.key, requester) {
                 continue;
             }
             if records.len() == MAX_RECORDS {
