--- a/crates/replication/tests/local_sessions.rs
+++ b/crates/replication/tests/local_sessions.rs
@@ -1,4 +1,4 @@
-//! What a member remembers of the sessions that write through it.
+//! Progress that a member tracks for the sessions whose writes begin there.
 
 use leverpoint_replication::local_sessions::{LocalSessions, SessionProgress};
 
@@ -8,20 +8,20 @@
     let first = sessions.begin_write(10, 7);
     let second = sessions.begin_write(20, 7);
 
-    let early = sessions.finish_write(30, 7, 500);
-    let last = sessions.finish_write(40, 7, 400);
+    let after_first = sessions.finish_write(30, 7, 500);
+    let after_last = sessions.finish_write(40, 7, 400);
 
     let progress = |last_finished| SessionProgress {
         first_write: first.number,
         position: 500,
         last_finished,
     };
-    assert_eq!(early, Some(progress(0)));
-    assert_eq!(last, Some(progress(second.number)));
+    assert_eq!(after_first, Some(progress(0)));
+    assert_eq!(after_last, Some(progress(second.number)));
 }
 
 #[test]
-fn rejections_count_from_the_first_one_since_a_quorum() {
+fn rejections_count_from_the_first_one_since_a_quorum_acknowledged() {
     let mut sessions = LocalSessions::default();
     sessions.begin_write(10, 7);
 
--- a/crates/replication/tests/record.rs
+++ b/crates/replication/tests/record.rs
@@ -1,4 +1,4 @@
-//! Merging replicated records.
+//! Algebraic properties of the merge of replicated records, and the bound of open writers.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 #[test]
 fn merge_is_commutative_associative_and_idempotent() {
     let mut rng = Rng::with_seed(3);
-    let mut any = |which: usize| {
+    let mut random_record = |kind: usize| {
         let mut small = || rng.i64(0..6);
-        let value = match which {
+        let value = match kind {
             0 => {
                 let mut open = BTreeMap::new();
                 for _ in 0..small() {
-                    let (begun, done) = (small() as u32, small() as u32);
+                    let (begun, finished) = (small() as u32, small() as u32);
                     open.insert(
                         (small() as u64 % 4, 1),
                         OpenWrites {
                             last_begun: begun,
-                            last_finished: done,
+                            last_finished: finished,
                             begun_at: small(),
                         },
                     );
@@ -34,24 +34,25 @@
                 })
             }
             1 => {
-                // A try's set, first sending and window's end are its own; only how it has ended is heard of in turn.
-                let ended = [
+                // Replica set, first send and window end of an attempt are fixed; replicas differ only in its outcome.
+                let outcomes = [
                     KeyedOutcome::Pending,
                     KeyedOutcome::NotExecuted,
                     KeyedOutcome::PossiblyExecuted,
                     KeyedOutcome::Executed,
                 ];
-                let one = |number: i64, ended| KeyedAttempt {
-                    replica_set: number as u16 % 2,
-                    first_sent: number,
-                    deduplicated_until: 9 + number,
-                    outcome: ended,
-                    is_first: number % 2 == 0,
+                let attempt = |id: i64, known_outcome| KeyedAttempt {
+                    replica_set: id as u16 % 2,
+                    first_sent: id,
+                    deduplicated_until: 9 + id,
+                    outcome: known_outcome,
+                    is_first: id % 2 == 0,
                 };
-                let numbers = [small(), small(), small()];
-                let tries = numbers.map(|n| (n as u64, one(n, ended[small() as usize % 4])));
+                let ids = [small(), small(), small()];
+                let attempts =
+                    ids.map(|id| (id as u64, attempt(id, outcomes[small() as usize % 4])));
                 RecordValue::KeyedRequest(KeyedRequestState {
-                    attempts: BTreeMap::from(tries),
+                    attempts: BTreeMap::from(attempts),
                     folded: None,
                 })
             }
@@ -69,26 +70,33 @@
                 })
             }
         };
-        let kind = [
+        let record_key = [
             RecordKey::Session(1),
             RecordKey::KeyedRequest(1),
             RecordKey::Primary(1),
             RecordKey::EndpointList,
-        ][which];
-        Record { key: kind, value }
+        ][kind];
+        Record {
+            key: record_key,
+            value,
+        }
     };
     for round in 0..3_000 {
-        let which = round % 4;
-        let [a, b, c] = [any(which), any(which), any(which)];
+        let kind = round % 4;
+        let [a, b, c] = [
+            random_record(kind),
+            random_record(kind),
+            random_record(kind),
+        ];
         assert!(a.is_valid());
-        let merged = |all: &[&Record]| {
-            let mut out = all[0].clone();
-            for other in &all[1..] {
-                out.merge(other);
+        let merge_all = |records: &[&Record]| {
+            let mut merged = records[0].clone();
+            for other in &records[1..] {
+                merged.merge(other);
             }
-            out
+            merged
         };
-        let whole = merged(&[&a, &b, &c]);
+        let expected = merge_all(&[&a, &b, &c]);
         for order in [
             [&a, &c, &b],
             [&b, &a, &c],
@@ -96,59 +104,69 @@
             [&c, &a, &b],
             [&c, &b, &a],
         ] {
-            assert_eq!(merged(&order), whole);
+            assert_eq!(merge_all(&order), expected);
         }
-        assert_eq!(merged(&[&a, &b, &a, &c, &b]), whole);
-        assert_eq!(merged(&[&merged(&[&a, &b]), &merged(&[&b, &c])]), whole);
+        assert_eq!(merge_all(&[&a, &b, &a, &c, &b]), expected);
+        assert_eq!(
+            merge_all(&[&merge_all(&[&a, &b]), &merge_all(&[&b, &c])]),
+            expected
+        );
         assert!(
-            !merged(&[&whole]).clone().merge(&a),
-            "what is in it changes nothing"
+            !merge_all(&[&expected]).clone().merge(&a),
+            "merging a contained record changes the merged one"
         );
     }
 }
 
-/// Beyond its bound a record of a session asks for more, in whatever order it came to it, and never for less.
+/// A session record with more writers than its bound may report open writes although there are none, but never the
+/// reverse, in whatever order it is merged.
 #[test]
 fn record_with_too_many_writers_never_hides_an_open_write() {
     let mut rng = Rng::with_seed(8);
     for _ in 0..2_000 {
-        let parts: Vec<Record> = (0..12)
+        let updates: Vec<Record> = (0..12)
             .map(|_| {
-                let open = OpenWrites {
+                let progress = OpenWrites {
                     last_begun: rng.u32(1..4),
                     last_finished: rng.u32(0..4),
                     begun_at: 5,
                 };
-                let open = BTreeMap::from([((rng.u64(0..9), 1), open)]);
+                let by_writer = BTreeMap::from([((rng.u64(0..9), 1), progress)]);
                 Record {
                     key: RecordKey::Session(1),
                     value: RecordValue::Session(SessionWrites {
                         position: 1,
-                        open_writes: open,
+                        open_writes: by_writer,
                         overflowed: false,
                     }),
                 }
             })
             .collect();
-        let mut truth: BTreeMap<(u64, u32), (u32, u32)> = BTreeMap::new();
-        let mut all = parts[0].clone();
-        for part in &parts {
-            all.merge(part);
-            let RecordValue::Session(wrote) = &part.value else {
+        let mut expected: BTreeMap<(u64, u32), (u32, u32)> = BTreeMap::new();
+        let mut merged = updates[0].clone();
+        for update in &updates {
+            merged.merge(update);
+            let RecordValue::Session(writes) = &update.value else {
                 continue;
             };
-            for (life, open) in &wrote.open_writes {
-                let held = truth.entry(*life).or_default();
-                *held = (held.0.max(open.last_begun), held.1.max(open.last_finished));
+            for (writer, progress) in &writes.open_writes {
+                let latest = expected.entry(*writer).or_default();
+                *latest = (
+                    latest.0.max(progress.last_begun),
+                    latest.1.max(progress.last_finished),
+                );
             }
         }
-        let RecordValue::Session(wrote) = &all.value else {
-            panic!("a position")
+        let RecordValue::Session(writes) = &merged.value else {
+            panic!("expected a session record")
         };
-        assert!(all.is_valid());
+        assert!(merged.is_valid());
         assert!(
-            wrote.has_open_writes() || truth.values().all(|(begun, done)| begun <= done),
-            "{all:?} {truth:?}"
+            writes.has_open_writes()
+                || expected
+                    .values()
+                    .all(|(last_begun, last_finished)| last_begun <= last_finished),
+            "{merged:?} {expected:?}"
         );
     }
 }
--- a/crates/replication/tests/record_store.rs
+++ b/crates/replication/tests/record_store.rs
@@ -1,4 +1,4 @@
-//! Eviction and expiry of records.
+//! Eviction and expiry of records, and the low watermark that covers them.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
         key_retention: 30_000,
     };
     let mut store = RecordStore::new(limits);
-    let wrote = |at| {
+    let session_value = |at| {
         RecordValue::Session(SessionWrites {
             position: at,
             ..SessionWrites::default()
         })
     };
-    let key = |at| {
+    let keyed_value = |at| {
         RecordValue::KeyedRequest(KeyedRequestState::with_attempt(
             1,
             KeyedAttempt {
@@ -36,29 +36,32 @@
         ))
     };
     let mut rng = Rng::with_seed(5);
-    let mut truth = BTreeMap::new();
+    let mut expected = BTreeMap::new();
     for n in 0..20_000u64 {
         let at = n as i64 * 10 + rng.i64(0..500);
-        let position = rng.bool();
-        let (kind, value) = if position {
-            (RecordKey::Session(n % 4_000), wrote(at))
+        let is_session = rng.bool();
+        let (record_key, value) = if is_session {
+            (RecordKey::Session(n % 4_000), session_value(at))
         } else {
-            (RecordKey::KeyedRequest(n), key(at))
+            (RecordKey::KeyedRequest(n), keyed_value(at))
         };
-        store.merge(&Record { key: kind, value });
-        truth
-            .entry(kind)
-            .and_modify(|held: &mut i64| *held = at.max(*held))
+        store.merge(&Record {
+            key: record_key,
+            value,
+        });
+        expected
+            .entry(record_key)
+            .and_modify(|latest: &mut i64| *latest = at.max(*latest))
             .or_insert(at);
         assert!(store.len() <= 1_000);
     }
     store.expire(250_000, leverpoint_replication::record_store::BUCKETS);
-    for (kind, at) in truth {
-        let held = store.get(kind).map_or(0, Record::last_touched);
-        let key_is_over = matches!(kind, RecordKey::KeyedRequest(_)) && at < 250_000 - 30_000;
+    for (key, at) in expected {
+        let stored = store.get(key).map_or(0, Record::last_touched);
+        let is_expired_key = matches!(key, RecordKey::KeyedRequest(_)) && at < 250_000 - 30_000;
         assert!(
-            held == at || store.low_watermark() >= at || key_is_over,
-            "{kind:?} {at} {held} {}",
+            stored == at || store.low_watermark() >= at || is_expired_key,
+            "{key:?} {at} {stored} {}",
             store.low_watermark()
         );
     }
