--- a/crates/replication/src/action.rs
+++ b/crates/replication/src/action.rs
@@ -37,7 +37,7 @@
 pub enum Completion {
     /// A quorum has acknowledged the write; it may be sent to the database if `decision` permits it.
     QuorumAcknowledged {
-        /// Ticket of the write.
+        /// The write, by its ticket.
         ticket: u64,
         /// Decision by the known attempts of the write's idempotency key.
         decision: IdempotencyDecision,
@@ -45,27 +45,27 @@
     /// The write may be sent although no quorum has acknowledged it: no read quorum counts on this member to replicate
     /// its writes any more.
     WithoutQuorum {
-        /// Ticket of the write.
+        /// The write, by its ticket.
         ticket: u64,
     },
     /// The write must not be sent: no quorum can be reached, and read quorums may still count on this member to
     /// replicate its writes.
     Rejected {
-        /// Ticket of the write.
+        /// The write, by its ticket.
         ticket: u64,
         /// Time after which another attempt may succeed.
         retry_after: Ticks,
     },
     /// Replication position that a session's read requires.
     SessionPosition {
-        /// Ticket of the read.
+        /// The read, by its ticket.
         ticket: u64,
         /// `None` if it is not known exactly; the read then has to see every write up to the present.
         position: Option<Ticks>,
     },
     /// Result of a read of one record.
     RecordRead {
-        /// Ticket of the read.
+        /// The read, by its ticket.
         ticket: u64,
         /// Merge of all replies, if any replica has the record.
         record: Option<Record>,
@@ -75,7 +75,7 @@
 }
 
 impl Completion {
-    /// Ticket of the completed write or read.
+    /// The completed write or read, by its ticket.
     #[must_use]
     pub fn ticket(&self) -> u64 {
         match self {
