--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -134,7 +134,7 @@
         }
         self.out_of_sync_since.get_or_insert(now);
         let local = state.local_replica();
-        let expired_after = state.leases.expired_for_all_after();
+        let expired_after = state.leases.length_with_drift_margin();
         match state
             .layout_history
             .sync_status(now, &local.name, local.memory, expired_after)
@@ -163,7 +163,7 @@
             return Some(RepairJob::new(state, peer, stage));
         }
         let name = self.next_comparison(state, now)?;
-        let memory = state.leases.memory(&name);
+        let memory = state.leases.storage_id(&name);
         let peer = ReplicaId { name, memory };
         Some(RepairJob::new(state, peer, RepairStage::Branches))
     }
@@ -262,6 +262,6 @@
     let pending = state.layout_history.pending_transfers(&state.local.name);
     pending.into_iter().find(|peer| {
         state.leases.in_touch(now, &peer.name, version)
-            && state.leases.memory(&peer.name) == peer.memory
+            && state.leases.storage_id(&peer.name) == peer.memory
     })
 }
--- a/crates/replication/src/coordinator.rs
+++ b/crates/replication/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! What this member asks of replicas for its own requests: dispatches replies, layouts and time to the coordinators of
-//! writes and reads, which share the outbound queues.
+//! Coordinator of this member's own writes and reads: passes replies, layout changes and ticks on to the write and read
+//! coordinators, which share the outbound queues.
 
 use std::collections::BTreeSet;
 
@@ -14,14 +14,14 @@
 use crate::status::QueueSizes;
 use crate::write_coordinator::{WriteCoordinator, WriteRequest};
 
-/// What a coordinator works on during one call.
+/// The member's state and queues, lent to a write or read coordinator for one call.
 pub(crate) struct Context<'a> {
     pub(crate) state: &'a mut MemberState,
     pub(crate) queues: &'a mut OutboundQueues,
     pub(crate) now: Ticks,
 }
 
-/// The writes and reads of this member, numbered in one sequence.
+/// The writes and reads of this member. Both take their operation ids from one sequence.
 #[derive(Debug, Default)]
 pub(crate) struct Coordinator {
     writes: WriteCoordinator,
@@ -45,7 +45,7 @@
         self.last_operation
     }
 
-    /// Starts a write.
+    /// Starts a write: queues its records for their replicas. A [`crate::Completion`] follows.
     pub(crate) fn begin_write(
         &mut self,
         state: &mut MemberState,
@@ -61,7 +61,7 @@
         self.writes.begin(ctx, id, request);
     }
 
-    /// Takes in the outcome of a write.
+    /// Ends a write with its outcome, and a read of the same ticket if one is pending.
     pub(crate) fn finish_write(
         &mut self,
         state: &mut MemberState,
@@ -78,7 +78,7 @@
         self.writes.finish(ctx, ticket, outcome);
     }
 
-    /// Starts a read.
+    /// Starts a read at a quorum of replicas. A [`crate::Completion`] follows.
     pub(crate) fn begin_read(&mut self, state: &mut MemberState, now: Ticks, request: ReadRequest) {
         let id = self.next_operation();
         let ctx = &mut Context {
@@ -89,12 +89,12 @@
         self.reads.begin(ctx, id, request);
     }
 
-    /// Sends a record to its replicas; nobody waits for it.
+    /// Sends a record to its replicas in all layouts in force, without a completion.
     pub(crate) fn publish(&mut self, state: &mut MemberState, now: Ticks, record: &Record) {
         self.queues.publish(state, now, record);
     }
 
-    /// This member has persisted a record for one of its own operations.
+    /// Counts this member as a replica that has persisted the record of one of its own operations.
     pub(crate) fn on_persisted_locally(
         &mut self,
         state: &mut MemberState,
@@ -110,7 +110,7 @@
         self.writes.on_persisted_locally(ctx, id, key);
     }
 
-    /// Takes in a replica's reply; whether it answers a request of the outbound queues.
+    /// Handles a replica's reply. Returns false if it answers no request of the outbound queues.
     pub(crate) fn on_reply(
         &mut self,
         state: &mut MemberState,
@@ -154,7 +154,7 @@
         true
     }
 
-    /// A replica did not do what it was asked, or did not reply.
+    /// Fails the operations of a request that a replica has rejected or not answered in time; records become hints.
     fn on_batch_failed(&mut self, state: &mut MemberState, now: Ticks, name: &str, batch: Batch) {
         let ctx = &mut Context {
             state,
@@ -182,8 +182,8 @@
         }
     }
 
-    /// A replica is in touch again: its hints are sent.
-    pub(crate) fn on_in_touch(&mut self, state: &mut MemberState, now: Ticks, name: &str) {
+    /// Sends the hints stored for a replica that is in touch again.
+    pub(crate) fn on_peer_in_touch(&mut self, state: &mut MemberState, now: Ticks, name: &str) {
         self.queues.send_hints(state, now, name);
     }
 
@@ -194,7 +194,8 @@
         operations
     }
 
-    /// Another layout is in force: writes need its replicas as well, reads start anew.
+    /// Adapts to a change of the layouts in force: pending writes also need a quorum of the newest, pending reads are
+    /// restarted.
     pub(crate) fn on_layout_changed(&mut self, state: &mut MemberState, now: Ticks) {
         let newest = state.layout_history.layouts().count().saturating_sub(1);
         for id in self.operations() {
@@ -217,13 +218,13 @@
         self.queues.retain_members(&members);
     }
 
-    /// When [`Coordinator::tick`] is wanted next.
+    /// When [`Coordinator::tick`] is due next; none while no operation has a deadline.
     pub(crate) fn next_deadline(&self) -> Option<Ticks> {
         let writes = self.writes.next_deadline();
         writes.into_iter().chain(self.reads.next_deadline()).min()
     }
 
-    /// Time has passed: slow operations are sent further, old requests fail, hints are tried again.
+    /// Sends slow operations to further replicas, fails requests that have timed out and sends hints that are due.
     pub(crate) fn tick(&mut self, state: &mut MemberState, now: Ticks) {
         self.reads.on_tick(now);
         for id in self.operations() {
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,24 +1,28 @@
-//! Leases between members: who is in touch, who may be serving without a quorum, and until when others count on this
-//! member to replicate its writes.
+//! Leases between members.
+//!
+//! Each member renews its lease at every other member of the newest layout. While the lease of a member is valid it
+//! replicates whatever it answers, or answers nothing: it is accounted for. Once it has expired the member may be
+//! serving without a quorum. A member is in touch while its last answer to a renewal of this member is younger than a
+//! lease and was given under the same layout.
 //!
 //! # Invariants
 //!
-//! A lease runs from a time that its giver has sent and has received back, so that a message that was delayed extends
-//! none.
+//! A lease runs from a time of the granting member's clock that the renewal echoes, so that a delayed renewal does not
+//! extend it.
 
 use std::collections::BTreeMap;
 
 use crate::Ticks;
 use crate::message::Envelope;
 
-/// A member that left in order is not missed for so many leases: half a minute, in which it is started again.
+/// Leases for which a member that left in an orderly way stays accounted for: 30 s by default, enough to restart it.
 const LEASES_FOR_RESTART: Ticks = 15;
-/// Clocks of two machines run alike to this part of a lease, far beyond what they differ by in that time.
+/// The drift margin is a lease divided by this: far more than the clocks of two machines drift apart within a lease.
 const DRIFT_MARGINS_PER_LEASE: Ticks = 8;
-/// A renewal is not repeated within this part of a lease.
-const MIN_RENEWALS_PER_LEASE: Ticks = 32;
+/// An unanswered renewal is not repeated within a lease divided by this.
+const MAX_RENEWALS_PER_LEASE: Ticks = 32;
 
-/// A renewal that was sent.
+/// A renewal that this member has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Renewal {
     request_id: u32,
@@ -32,27 +36,27 @@
     sent_at: Ticks,
 }
 
-/// The last time of a peer's clock that it has sent, to be echoed.
+/// The last time of its own clock that a peer has sent; the next renewal echoes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PeerTime {
     time: Ticks,
     received_at: Ticks,
 }
 
-/// What is known of one other member.
+/// Both directions of the lease between this member and one peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct PeerLease {
     incarnation: u64,
-    memory: u64,
-    /// Until then, by this member's clock, it replicates all that it answers, or answers nothing.
-    accounted_until: Ticks,
+    storage_id: u64,
+    /// When the peer's lease expires, by this member's clock.
+    lease_expires_at: Ticks,
     answered: Option<AnsweredRenewal>,
     peer_time: PeerTime,
-    /// Until then it may count on this member to replicate its writes.
-    trusted_until: Ticks,
-    /// It has all of its records up to that layout.
+    /// Upper bound, by this member's clock, of when the peer considers this member's lease expired.
+    own_lease_expires_at: Ticks,
+    /// The newest layout version under which the peer has all of its records.
     synced_version: u64,
-    unanswered: Option<Renewal>,
+    outstanding: Option<Renewal>,
 }
 
 /// The leases of the other members of the newest layout.
@@ -63,12 +67,12 @@
     peers: BTreeMap<String, PeerLease>,
 }
 
-/// What a message or a layout shows of another member.
+/// The consequence of a new incarnation or a new layout for what other members may have answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum LeaseChange {
     Nothing,
-    /// An incarnation has ended that may have answered without a quorum: what it did lies before now.
+    /// An incarnation has ended that may have answered without a quorum; its writes lie before now.
     UnaccountedIncarnationEnded,
 }
 
@@ -95,7 +99,7 @@
         self.length / DRIFT_MARGINS_PER_LEASE
     }
 
-    /// Forgets members that a new layout does not name.
+    /// Drops the leases of members that a new layout does not name.
     pub(crate) fn retain(&mut self, now: Ticks, is_member: impl Fn(&str) -> bool) -> LeaseChange {
         let unaccounted = self
             .peers
@@ -105,91 +109,92 @@
         LeaseChange::unaccounted_ended(unaccounted)
     }
 
-    /// The newest incarnation of a member that is known; 0 where none is.
+    /// The newest known incarnation of a member; 0 if none is known.
     pub(crate) fn incarnation(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.incarnation)
     }
 
-    /// Takes in that an incarnation of a member exists.
+    /// Records an incarnation of a member; one that is newer than the known one starts without a lease.
     pub(crate) fn on_incarnation_observed(
         &mut self,
         now: Ticks,
         name: &str,
         incarnation: u64,
-        memory: u64,
+        storage_id: u64,
     ) -> LeaseChange {
         let peer = self.peers.entry(name.to_owned()).or_default();
-        let known = (peer.incarnation, peer.memory) == (incarnation, memory);
+        let known = (peer.incarnation, peer.storage_id) == (incarnation, storage_id);
         if known || incarnation < peer.incarnation {
             return LeaseChange::Nothing;
         }
         let unaccounted = peer.incarnation > 0 && !peer.is_accounted_for(now);
         *peer = PeerLease {
             incarnation,
-            memory,
-            trusted_until: peer.trusted_until,
+            storage_id,
+            own_lease_expires_at: peer.own_lease_expires_at,
             ..PeerLease::default()
         };
         LeaseChange::unaccounted_ended(unaccounted)
     }
 
-    /// A peer renews its lease; it runs from the time of this member's clock that it echoes.
+    /// Extends the lease of a peer, from the time of this member's clock that the renewal echoes; 0 extends nothing.
     pub(crate) fn on_renewed(&mut self, name: &str, echoed_time: Ticks) {
         if let Some(peer) = self.peers.get_mut(name).filter(|_| echoed_time > 0) {
-            peer.accounted_until = peer.accounted_until.max(echoed_time + self.length);
+            peer.lease_expires_at = peer.lease_expires_at.max(echoed_time + self.length);
         }
     }
 
-    /// A peer has all of its records up to that layout.
+    /// Records that a peer has all of its records under that layout version.
     pub(crate) fn on_synced(&mut self, name: &str, version: u64) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.synced_version = peer.synced_version.max(version);
         }
     }
 
-    /// An incarnation has ended in order: it answers nothing more, and its next one may be started meanwhile.
+    /// Extends the lease of an incarnation that leaves in an orderly way: it answers nothing more, and the next
+    /// incarnation may be started in that time.
     pub(crate) fn on_leaving(&mut self, name: &str, incarnation: u64, echoed_time: Ticks) {
         let peer = self.peers.get_mut(name);
         let leaving = peer.filter(|peer| peer.incarnation == incarnation && echoed_time > 0);
         if let Some(peer) = leaving {
             let until = echoed_time + self.length * LEASES_FOR_RESTART;
-            peer.accounted_until = peer.accounted_until.max(until);
+            peer.lease_expires_at = peer.lease_expires_at.max(until);
         }
     }
 
-    /// The time that the next message to a peer echoes; 0 where it has sent none.
+    /// The time that the next message to a peer echoes; 0 if the peer has sent none.
     pub(crate) fn time_to_echo(&self, name: &str) -> Ticks {
         self.peers.get(name).map_or(0, |peer| peer.peer_time.time)
     }
 
-    /// A renewal is sent to a peer.
+    /// Records that a renewal is sent to a peer.
     pub(crate) fn begin_renewal(&mut self, now: Ticks, name: &str, request_id: u32) {
         let peer = self.peers.entry(name.to_owned()).or_default();
-        peer.unanswered = Some(Renewal {
+        peer.outstanding = Some(Renewal {
             request_id,
             sent_at: now,
         });
     }
 
-    /// Lets a peer count on this member for another lease; the time that the renewal echoes, 0 where there is none.
-    pub(crate) fn extend_trust(&mut self, name: &str) -> Ticks {
-        let longest = self.expired_for_all_after();
+    /// Extends this member's lease at a peer. Returns the time that the renewal echoes, 0 if there is none.
+    pub(crate) fn extend_own_lease(&mut self, name: &str) -> Ticks {
+        let max_length = self.length_with_drift_margin();
         let Some(peer) = self.peers.get_mut(name).filter(|p| p.peer_time.time != 0) else {
             return 0;
         };
-        // The peer sent that time before it was received here.
-        let until = peer.peer_time.received_at + longest;
-        peer.trusted_until = peer.trusted_until.max(until);
+        // The peer counts the lease from when it sent that time, which is before the time was received here.
+        let until = peer.peer_time.received_at + max_length;
+        peer.own_lease_expires_at = peer.own_lease_expires_at.max(until);
         peer.peer_time.time
     }
 
-    /// A peer has answered a renewal, at this time of its clock, by the layout of its message.
+    /// Records that a peer has answered a renewal, at `time` of its clock, under the layout of its message.
     pub(crate) fn on_renewal_answered(&mut self, now: Ticks, envelope: &Envelope, time: Ticks) {
         let Some(peer) = self.peers.get_mut(&envelope.sender) else {
             return;
         };
         let answered = peer
-            .unanswered
+            .outstanding
             .take_if(|renewal| renewal.request_id == envelope.request_id);
         if let Some(renewal) = answered {
             peer.answered = Some(AnsweredRenewal {
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Whether a member has answered within a lease by this layout.
+    /// Whether a member has answered, under this layout version, a renewal that was sent less than a lease ago.
     pub(crate) fn in_touch(&self, now: Ticks, name: &str, version: u64) -> bool {
         let answered = self.peers.get(name).and_then(|peer| peer.answered);
         answered.is_some_and(|renewal| {
@@ -213,59 +218,60 @@
         })
     }
 
-    /// Whether a member that goes by this layout has answered no renewal by it, and is not asked just now.
+    /// Whether a member that has adopted this layout has yet to answer a renewal under it, and none was sent just now.
     pub(crate) fn needs_renewal(&self, now: Ticks, name: &str, version: u64) -> bool {
         self.peers.get(name).is_some_and(|peer| {
-            let asked = peer.unanswered.is_some_and(|renewal| {
-                now - renewal.sent_at < self.length / MIN_RENEWALS_PER_LEASE
+            let recently_sent = peer.outstanding.is_some_and(|renewal| {
+                now - renewal.sent_at < self.length / MAX_RENEWALS_PER_LEASE
             });
-            peer.answered.map_or(0, |renewal| renewal.layout_version) != version && !asked
+            peer.answered.map_or(0, |renewal| renewal.layout_version) != version && !recently_sent
         })
     }
 
-    /// Whether a member, with that memory, replicates all that it answers, as far as is known here.
-    pub(crate) fn is_accounted_for(&self, now: Ticks, name: &str, memory: u64) -> bool {
+    /// Whether the lease of a member with that storage is valid, as far as this member knows.
+    pub(crate) fn is_accounted_for(&self, now: Ticks, name: &str, storage_id: u64) -> bool {
         self.peers
             .get(name)
-            .is_some_and(|peer| peer.memory == memory && peer.is_accounted_for(now))
+            .is_some_and(|peer| peer.storage_id == storage_id && peer.is_accounted_for(now))
     }
 
-    /// Until when a member may count on this one to replicate its writes.
-    pub(crate) fn trusted_until(&self, name: &str) -> Ticks {
+    /// Upper bound, by this member's clock, of when a peer considers this member's lease expired.
+    pub(crate) fn own_lease_expires_at(&self, name: &str) -> Ticks {
         let peer = self.peers.get(name);
-        let trusted_until = peer.map_or(0, |peer| peer.trusted_until);
+        let own_lease_expires_at = peer.map_or(0, |peer| peer.own_lease_expires_at);
         let answered = peer.and_then(|peer| peer.answered);
         if answered.is_some_and(|renewal| renewal.sent_at > 0) {
-            return trusted_until;
+            return own_lease_expires_at;
         }
-        // It has not answered this incarnation, and may count on the one before, which left in order.
+        // The peer has not answered this incarnation. It may still hold a lease of the previous one, which left in an
+        // orderly way.
         let restart = self.length * LEASES_FOR_RESTART + self.drift_margin();
-        trusted_until.max(self.started_at + restart)
+        own_lease_expires_at.max(self.started_at + restart)
     }
 
-    /// Up to which layout a member has all of its records.
+    /// The newest layout version under which a member has all of its records; 0 if none is known.
     pub(crate) fn synced_version(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.synced_version)
     }
 
-    /// The memory that a member has now; 0 where none is known.
-    pub(crate) fn memory(&self, name: &str) -> u64 {
-        self.peers.get(name).map_or(0, |peer| peer.memory)
+    /// The storage ID of a member's newest known incarnation; 0 if none is known.
+    pub(crate) fn storage_id(&self, name: &str) -> u64 {
+        self.peers.get(name).map_or(0, |peer| peer.storage_id)
     }
 
-    /// The length of a lease.
+    /// The duration of a lease, in ticks.
     pub(crate) fn length(&self) -> Ticks {
         self.length
     }
 
-    /// After this time every member has noticed that a silent one's lease has expired.
-    pub(crate) fn expired_for_all_after(&self) -> Ticks {
+    /// The time after which every member considers the lease of a silent one expired: a lease and the drift margin.
+    pub(crate) fn length_with_drift_margin(&self) -> Ticks {
         self.length + self.drift_margin()
     }
 }
 
 impl PeerLease {
     fn is_accounted_for(&self, now: Ticks) -> bool {
-        now < self.accounted_until
+        now < self.lease_expires_at
     }
 }
--- a/crates/replication/src/read_quorum.rs
+++ b/crates/replication/src/read_quorum.rs
@@ -1,8 +1,9 @@
-//! A quorum read of one record: the replies of its replicas, and what they come to together.
+//! The quorum read of one record: collects the replies of its replicas and merges them into a result.
 //!
 //! # Invariants
 //!
-//! A replica counts only with the memory that a layout names it with: a memory that was lost is not an empty one.
+//! A reply counts towards a quorum only if the replica has the storage ID by which the layout names it. A replica that
+//! has lost its storage does not count as one without the record.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,37 +12,37 @@
 use crate::record::Record;
 use crate::write_quorum::ReplicaSet;
 
-/// What one replica says of a record.
+/// A replica's reply to the read of one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaReply {
-    /// The record, if it has one.
+    /// The replica's record, if it has one.
     pub record: Option<Record>,
-    /// What was acknowledged up to then may have been evicted there, or lost.
+    /// Records acknowledged up to this time may have been evicted at the replica, or lost.
     pub low_watermark: Ticks,
-    /// It can't account for a member that may be serving without a quorum: its record is merged, and it counts in no
-    /// quorum.
+    /// The replica can't account for a member, which may be serving without a quorum. The record is merged, but the
+    /// reply counts towards no quorum.
     pub partitioned: bool,
 }
 
-/// What the replies come to.
+/// The result of a read by the replies so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadStatus {
-    /// A quorum has not replied yet, and may.
+    /// No quorum has replied yet, and one still can.
     Pending,
-    /// All that was acknowledged is in the record, or lies before the low watermark.
+    /// A quorum has replied: all that was acknowledged is in the merged record, or is older than the low watermark.
     Exact(Option<Record>, Ticks),
-    /// A quorum can't be had; this much is known.
+    /// No quorum can be reached any more; the merged record of the replies may lack acknowledged writes.
     QuorumUnreachable(Option<Record>),
 }
 
-/// The reply of a member; none where it can't be asked.
+/// The reply of a member; `reply` is none if the member can't be queried.
 #[derive(Clone, Debug)]
 struct MemberReply {
-    memory: u64,
+    storage_id: u64,
     reply: Option<ReplicaReply>,
 }
 
-/// A read under way.
+/// A quorum read in progress.
 #[derive(Clone, Debug)]
 pub struct ReadQuorum {
     layouts: Vec<ReplicaSet>,
@@ -58,19 +59,19 @@
         }
     }
 
-    /// Takes in what a replica says; none where it can't be asked.
+    /// Adds a replica's reply, none if it can't be queried, and returns the status that follows.
     pub fn on_reply(&mut self, replica: &ReplicaId, reply: Option<ReplicaReply>) -> ReadStatus {
         let mut replicas = self.layouts.iter().flatten();
         if replicas.any(|other| other.name == replica.name) {
-            // A later reply knows no less than an earlier one.
-            let memory = replica.memory;
+            // Records only grow by merges, so a later reply replaces an earlier one without loss.
+            let storage_id = replica.memory;
             self.replies
-                .insert(replica.name.clone(), MemberReply { memory, reply });
+                .insert(replica.name.clone(), MemberReply { storage_id, reply });
         }
         self.status()
     }
 
-    /// All replies as one record.
+    /// The merged record of all replies, including those that count towards no quorum; none if no reply has one.
     #[must_use]
     pub fn merged(&self) -> Option<Record> {
         let replies = self.replies.values().filter_map(|r| r.reply.as_ref());
@@ -82,7 +83,7 @@
         Some(merged)
     }
 
-    /// The members that have replied with less than the merged record.
+    /// The names of the members whose record differs from the merged one.
     pub fn stale_replicas<'a>(&'a self, merged: &'a Record) -> impl Iterator<Item = &'a String> {
         let is_stale = move |reply: &ReplicaReply| reply.record.as_ref() != Some(merged);
         let stale = self
@@ -92,14 +93,14 @@
         stale.map(|(name, _)| name)
     }
 
-    /// Whether a replica has replied that it can't account for a member.
+    /// Whether a replica has replied that it can't account for some member.
     #[must_use]
     pub fn has_partitioned_reply(&self) -> bool {
         let mut replies = self.replies.values().filter_map(|r| r.reply.as_ref());
         replies.any(|reply| reply.partitioned)
     }
 
-    /// The replicas that have not replied, by name.
+    /// The names of the replicas that have not replied, in order.
     #[must_use]
     pub fn missing_replies(&self) -> Vec<String> {
         let names = self.layouts.iter().flatten().map(|replica| &replica.name);
@@ -109,10 +110,10 @@
         missing.into_iter().cloned().collect()
     }
 
-    /// What the replies come to by now.
+    /// Evaluates the replies so far. A quorum of each layout in force is needed.
     #[must_use]
     pub fn status(&self) -> ReadStatus {
-        let (mut is_quorum, mut may_be_quorum) = (!self.layouts.is_empty(), true);
+        let (mut has_quorum, mut can_reach_quorum) = (!self.layouts.is_empty(), true);
         let mut low_watermark = 0;
         for replicas in &self.layouts {
             let quorum = ReplicationFactor::quorum(replicas.len());
@@ -120,29 +121,29 @@
                 .iter()
                 .filter_map(|replica| self.counted_reply(replica))
                 .collect();
-            let open = replicas
+            let outstanding = replicas
                 .iter()
                 .filter(|replica| !self.replies.contains_key(&replica.name))
                 .count();
-            is_quorum &= counted.len() >= quorum && !replicas.is_empty();
-            may_be_quorum &= counted.len() + open >= quorum;
+            has_quorum &= counted.len() >= quorum && !replicas.is_empty();
+            can_reach_quorum &= counted.len() + outstanding >= quorum;
             for reply in counted {
                 low_watermark = low_watermark.max(reply.low_watermark);
             }
         }
-        match (is_quorum, may_be_quorum) {
+        match (has_quorum, can_reach_quorum) {
             (true, _) => ReadStatus::Exact(self.merged(), low_watermark),
             (false, true) => ReadStatus::Pending,
             (false, false) => ReadStatus::QuorumUnreachable(self.merged()),
         }
     }
 
-    /// The reply of a replica, where it counts in a quorum.
+    /// The reply of a replica if it counts towards a quorum.
     fn counted_reply(&self, replica: &ReplicaId) -> Option<&ReplicaReply> {
         let member = self.replies.get(&replica.name)?;
-        let same_memory =
-            member.memory == replica.memory || leverpoint_failpoint::plant("empty-memory-counts");
-        let reply = member.reply.as_ref().filter(|_| same_memory);
+        let same_storage = member.storage_id == replica.memory
+            || leverpoint_failpoint::plant("empty-memory-counts");
+        let reply = member.reply.as_ref().filter(|_| same_storage);
         reply.filter(|reply| !reply.partitioned)
     }
 }
--- a/crates/replication/src/replicator.rs
+++ b/crates/replication/src/replicator.rs
@@ -241,7 +241,7 @@
                 return holder.storage_id == state.local.memory
                     && state.sync.layout_version >= layout_version;
             }
-            state.leases.memory(&holder.name) == holder.storage_id
+            state.leases.storage_id(&holder.name) == holder.storage_id
                 && state.leases.synced_version(&holder.name) >= layout_version
         });
         if all_synced && state.layout_history.drop_superseded() {
--- a/crates/replication/src/replicator/inbound.rs
+++ b/crates/replication/src/replicator/inbound.rs
@@ -64,7 +64,7 @@
             state.participation.has_met_quorum = true;
         }
         if !was_in_touch && state.leases.in_touch(now, name, version) {
-            self.coordinator.on_in_touch(state, now, name);
+            self.coordinator.on_peer_in_touch(state, now, name);
             if !state.layout_history.is_known() {
                 let request_id = state.next_request_id();
                 state.send(name, request_id, Message::QueryLayouts);
--- a/crates/replication/src/replicator/lease_renewal.rs
+++ b/crates/replication/src/replicator/lease_renewal.rs
@@ -29,7 +29,7 @@
         let echoed_time = if paused {
             0
         } else {
-            state.leases.extend_trust(name)
+            state.leases.extend_own_lease(name)
         };
         let message = Message::RenewLease {
             echoed_time,
--- a/crates/replication/src/write_coordinator/degraded.rs
+++ b/crates/replication/src/write_coordinator/degraded.rs
@@ -64,7 +64,8 @@
         let state = &mut *ctx.state;
         if ctx.now - since >= state.leases.length() / LASTING_FAULTS_PER_LEASE {
             // No passing fault: this member stops renewing its leases, so that all stop counting on it within one.
-            state.degraded.leases_paused_until = ctx.now + 2 * state.leases.expired_for_all_after();
+            state.degraded.leases_paused_until =
+                ctx.now + 2 * state.leases.length_with_drift_margin();
         }
         let retry_after = if state.degraded.leases_paused_until > ctx.now {
             wait
@@ -100,9 +101,9 @@
     let until = |replica: &ReplicaId| {
         // A member that has lost the memory a layout names it with counts in nobody's quorum.
         let counts =
-            !state.is_local(replica) && state.leases.memory(&replica.name) == replica.memory;
+            !state.is_local(replica) && state.leases.storage_id(&replica.name) == replica.memory;
         if counts {
-            state.leases.trusted_until(&replica.name)
+            state.leases.own_lease_expires_at(&replica.name)
         } else {
             0
         }
--- a/crates/replication/src/write_quorum.rs
+++ b/crates/replication/src/write_quorum.rs
@@ -1,9 +1,9 @@
-//! One record on its way to a quorum of its replicas: a state machine with its transitions, and the counting of replicas.
+//! The quorum write of one record: a state machine with an explicit transition table, and the counting of replicas.
 //!
 //! # Invariants
 //!
-//! A write is acknowledged only once every read quorum of each layout in force meets a replica that has the record. It
-//! waits no longer than its deadline.
+//! A write is acknowledged only once every read quorum of each layout in force includes a replica that has the record.
+//! It is abandoned at its deadline at the latest.
 
 use std::collections::BTreeSet;
 
@@ -13,45 +13,45 @@
 /// The state of a quorum write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteQuorumState {
-    /// Sent to a quorum and one more.
+    /// Sent to a quorum of replicas and one more.
     Sent,
-    /// Sent to all replicas.
+    /// Sent to all replicas, because one is slow or has rejected it, or the layout has changed.
     SentToAll,
-    /// A quorum has it.
+    /// A quorum of each layout in force has persisted the record. Final.
     Acknowledged,
-    /// No quorum has it in time.
+    /// No quorum could be reached, or not before the deadline. Final.
     Abandoned,
 }
 
-/// What happens to a quorum write.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteQuorumInput {
-    /// One more replica has it, and they are a quorum.
+    /// A replica has acknowledged the record, which makes a quorum.
     QuorumReached,
-    /// One more replica has it, and they are no quorum yet.
+    /// A replica has acknowledged the record, and more are needed for a quorum.
     BelowQuorum,
-    /// A replica rejects it, and the others can be a quorum.
+    /// A replica has rejected the record, and the others can still reach a quorum.
     ReplicaRejected,
-    /// A replica rejects it, and the others can't be a quorum.
+    /// A replica has rejected the record, and the others are too few for a quorum.
     QuorumUnreachable,
-    /// A replica is slow.
+    /// No quorum has acknowledged the record by the time after which a replica counts as slow.
     SlowReplica,
     /// The deadline has passed.
     TimedOut,
-    /// A newer layout is in force.
+    /// A newer layout has come into force.
     LayoutChanged,
 }
 
-/// What is to be done for a quorum write.
+/// The effect of a transition, to be carried out by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteQuorumEffect {
-    /// Nothing.
+    /// There is nothing to do.
     Nothing,
-    /// It is sent to the replicas that have not got it yet.
+    /// Send the record to the replicas that it was not sent to yet.
     SendToAll,
-    /// A quorum has it.
+    /// Report that a quorum has persisted the record.
     Acknowledge,
-    /// No quorum can be had.
+    /// Handle the write as one without a quorum.
     ProceedWithoutQuorum,
 }
 
@@ -69,7 +69,7 @@
     effect: WriteQuorumEffect,
 }
 
-const fn on(
+const fn entry(
     state: WriteQuorumState,
     input: WriteQuorumInput,
     next: WriteQuorumState,
@@ -83,39 +83,40 @@
     }
 }
 
-/// What is not listed changes nothing: a write that was acknowledged or abandoned stays so.
+/// The transition table. Pairs that are not listed keep the state and have no effect: the states acknowledged and
+/// abandoned are final.
 const TRANSITIONS: [Transition; 13] = [
-    on(
+    entry(
         Sent,
         QuorumReached,
         Acknowledged,
         WriteQuorumEffect::Acknowledge,
     ),
-    on(
+    entry(
         SentToAll,
         QuorumReached,
         Acknowledged,
         WriteQuorumEffect::Acknowledge,
     ),
-    on(Sent, BelowQuorum, Sent, Nothing),
-    on(SentToAll, BelowQuorum, SentToAll, Nothing),
-    on(Sent, ReplicaRejected, SentToAll, SendToAll),
-    on(SentToAll, ReplicaRejected, SentToAll, Nothing),
-    on(Sent, SlowReplica, SentToAll, SendToAll),
-    on(Sent, LayoutChanged, SentToAll, SendToAll),
-    on(SentToAll, LayoutChanged, SentToAll, SendToAll),
-    on(Sent, QuorumUnreachable, Abandoned, ProceedWithoutQuorum),
-    on(
+    entry(Sent, BelowQuorum, Sent, Nothing),
+    entry(SentToAll, BelowQuorum, SentToAll, Nothing),
+    entry(Sent, ReplicaRejected, SentToAll, SendToAll),
+    entry(SentToAll, ReplicaRejected, SentToAll, Nothing),
+    entry(Sent, SlowReplica, SentToAll, SendToAll),
+    entry(Sent, LayoutChanged, SentToAll, SendToAll),
+    entry(SentToAll, LayoutChanged, SentToAll, SendToAll),
+    entry(Sent, QuorumUnreachable, Abandoned, ProceedWithoutQuorum),
+    entry(
         SentToAll,
         QuorumUnreachable,
         Abandoned,
         ProceedWithoutQuorum,
     ),
-    on(Sent, TimedOut, Abandoned, ProceedWithoutQuorum),
-    on(SentToAll, TimedOut, Abandoned, ProceedWithoutQuorum),
+    entry(Sent, TimedOut, Abandoned, ProceedWithoutQuorum),
+    entry(SentToAll, TimedOut, Abandoned, ProceedWithoutQuorum),
 ];
 
-/// The state after this input, and what is to be done.
+/// Looks up the transition for an input: the next state and its effect.
 #[must_use]
 pub fn next_state(
     state: WriteQuorumState,
@@ -129,19 +130,19 @@
         })
 }
 
-/// The replicas of a record in one layout, the one to be asked first in front.
+/// The replicas of a record in one layout, in order of preference.
 pub type ReplicaSet = Vec<ReplicaId>;
 
 /// A quorum write of one record.
 #[derive(Clone, Debug)]
 pub struct WriteQuorum {
     state: WriteQuorumState,
-    /// The record's replicas in each layout in force.
+    /// The record's replicas in each layout in force, oldest layout first.
     layouts: Vec<ReplicaSet>,
     acknowledged: BTreeSet<ReplicaId>,
     rejected: BTreeSet<ReplicaId>,
     recipients: BTreeSet<ReplicaId>,
-    /// When a replica that has not answered counts as slow.
+    /// When the record is sent to all replicas if no quorum has acknowledged it.
     slow_at: Ticks,
     deadline: Ticks,
 }
@@ -153,7 +154,7 @@
         WriteQuorum::across_layouts(vec![replicas], slow_at, deadline)
     }
 
-    /// Starts a write under all layouts in force, with a quorum of each and one more as recipients.
+    /// Starts a write under all layouts in force. Its first recipients are a quorum of each layout and one more replica.
     #[must_use]
     pub fn across_layouts(
         layouts: Vec<ReplicaSet>,
@@ -161,9 +162,9 @@
         deadline: Ticks,
     ) -> WriteQuorum {
         let recipients = layouts.iter().flat_map(|replicas| {
-            // With one more than a quorum nobody waits for a single slow replica.
-            let first = ReplicationFactor::quorum(replicas.len()) + 1;
-            replicas.iter().take(first).cloned()
+            // One more than a quorum, so that a single slow replica does not delay the write.
+            let initial_count = ReplicationFactor::quorum(replicas.len()) + 1;
+            replicas.iter().take(initial_count).cloned()
         });
         let recipients = recipients.collect();
         WriteQuorum {
@@ -177,38 +178,38 @@
         }
     }
 
-    /// Whether a replica has acknowledged or rejected it.
+    /// Whether a replica has acknowledged or rejected the record.
     #[must_use]
     pub fn has_answered(&self, replica: &ReplicaId) -> bool {
         self.acknowledged.contains(replica) || self.rejected.contains(replica)
     }
 
-    /// The state of the write.
+    /// The current state.
     #[must_use]
     pub fn state(&self) -> WriteQuorumState {
         self.state
     }
 
-    /// The replicas that it is sent to by now.
+    /// The replicas to which the record has been, or is to be, sent by now.
     pub fn recipients(&self) -> impl Iterator<Item = &ReplicaId> {
         self.recipients.iter()
     }
 
     fn has_quorum(&self) -> bool {
-        let is_quorum = |replicas: &ReplicaSet| {
+        let has_quorum_in_layout = |replicas: &ReplicaSet| {
             let acknowledged = replicas.iter().filter(|r| self.acknowledged.contains(r));
             let quorum = ReplicationFactor::quorum(replicas.len());
             !replicas.is_empty() && acknowledged.count() >= quorum
         };
-        !self.layouts.is_empty() && self.layouts.iter().all(is_quorum)
+        !self.layouts.is_empty() && self.layouts.iter().all(has_quorum_in_layout)
     }
 
-    fn can_have_quorum(&self) -> bool {
-        let can_be_quorum = |replicas: &ReplicaSet| {
-            let left = replicas.iter().filter(|r| !self.rejected.contains(r));
-            left.count() >= ReplicationFactor::quorum(replicas.len())
+    fn can_reach_quorum(&self) -> bool {
+        let can_reach_in_layout = |replicas: &ReplicaSet| {
+            let remaining = replicas.iter().filter(|r| !self.rejected.contains(r));
+            remaining.count() >= ReplicationFactor::quorum(replicas.len())
         };
-        self.layouts.iter().all(can_be_quorum)
+        self.layouts.iter().all(can_reach_in_layout)
     }
 
     fn transition(&mut self, input: WriteQuorumInput) -> WriteQuorumEffect {
@@ -221,7 +222,7 @@
         effect
     }
 
-    /// A replica has persisted it. One that no layout in force names with that memory does not count.
+    /// Counts a replica that has persisted the record. One that no layout in force names with its storage ID is ignored.
     pub fn on_acknowledged(&mut self, replica: &ReplicaId) -> WriteQuorumEffect {
         if !self.layouts.iter().flatten().any(|other| other == replica) {
             return Nothing;
@@ -236,13 +237,13 @@
         self.transition(input)
     }
 
-    /// A replica can't have it now: overloaded, leaving, of another layout, unreachable.
+    /// Counts a replica that can't persist the record now: overloaded, leaving, under another layout, or unreachable.
     pub fn on_rejected(&mut self, replica: &ReplicaId) -> WriteQuorumEffect {
         if self.acknowledged.contains(replica) {
             return Nothing;
         }
         self.rejected.insert(replica.clone());
-        let input = if self.can_have_quorum() {
+        let input = if self.can_reach_quorum() {
             ReplicaRejected
         } else {
             QuorumUnreachable
@@ -250,13 +251,13 @@
         self.transition(input)
     }
 
-    /// A newer layout is in force beside the older ones: a quorum of its replicas is needed as well.
+    /// Adds a newer layout to those in force: a quorum of its replicas is needed as well.
     pub fn on_layout_added(&mut self, replicas: ReplicaSet) -> WriteQuorumEffect {
         self.layouts.push(replicas);
         self.transition(LayoutChanged)
     }
 
-    /// Lets time pass.
+    /// Abandons the write at its deadline, and has it sent to all replicas once it is slow.
     pub fn tick(&mut self, now: Ticks) -> WriteQuorumEffect {
         if now >= self.deadline {
             self.transition(TimedOut)
@@ -267,7 +268,7 @@
         }
     }
 
-    /// When [`WriteQuorum::tick`] is wanted next; none once the write is acknowledged or abandoned.
+    /// When [`WriteQuorum::tick`] is due next; none once the write is acknowledged or abandoned.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Ticks> {
         match self.state {
