--- a/crates/replication/src/coordinator.rs
+++ b/crates/replication/src/coordinator.rs
@@ -226,7 +226,7 @@
 
     /// Sends slow operations to further replicas, fails requests that have timed out and sends hints that are due.
     pub(crate) fn tick(&mut self, state: &mut MemberState, now: Ticks) {
-        self.reads.on_tick(now);
+        self.reads.set_last_tick(now);
         for id in self.operations() {
             let ctx = &mut Context {
                 state,
--- a/crates/replication/src/pending_write.rs
+++ b/crates/replication/src/pending_write.rs
@@ -1,4 +1,4 @@
-//! A write while it waits for its quorum and while it is open, and the records by which replicas know of it.
+//! The state of a write until it has a quorum and until it is finished, and the records that it writes to replicas.
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,30 @@
 };
 use crate::write_quorum::{WriteQuorum, WriteQuorumState};
 
-/// How a write has ended.
+/// The outcome of a write, as reported by the gateway's engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was answered at that replication position.
+    /// The database has acknowledged the write at this replication position.
     Acknowledged(Ticks),
-    /// It may have been executed: all that it may have done lies before that time.
+    /// The write may have been executed, at a position before this time.
     PossiblyExecuted(Ticks),
-    /// It was not executed and is not sent any more.
+    /// The write was not executed, and will not be.
     NotExecuted,
 }
 
-/// A write that waits for its quorum.
+/// A write that waits for a quorum of each of its records.
 #[derive(Debug)]
 pub(crate) struct PendingWrite {
     pub(crate) ticket: u64,
     pub(crate) claim: Option<IdempotencyClaim>,
     pub(crate) quorums: Vec<(RecordKey, WriteQuorum)>,
-    /// What replicas know of the key.
+    /// The merged state of the idempotency key at the replicas that have answered.
     pub(crate) key_state: Option<KeyedRequestState>,
-    /// Up to when replicas may have forgotten a key, or never heard of it.
+    /// Attempts sent up to this time may be missing at the replicas that have answered.
     pub(crate) keys_lost_until: Ticks,
 }
 
-/// Whether a write may be sent to the database.
+/// Whether a write may be sent to the database, and on which grounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteClearance {
     Pending,
@@ -43,7 +43,7 @@
     WithoutQuorum,
 }
 
-/// An attempt under an idempotency key.
+/// This member's own attempt under an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClaimedAttempt {
     pub(crate) key: u64,
@@ -51,7 +51,7 @@
     pub(crate) attempt: KeyedAttempt,
 }
 
-/// A write that is not finished.
+/// A write that has begun and is not finished.
 #[derive(Debug)]
 pub(crate) struct OpenWrite {
     pub(crate) session: u64,
@@ -78,7 +78,7 @@
             .all(|(_, quorum)| quorum.state() == WriteQuorumState::Acknowledged)
     }
 
-    /// Takes in what a replica knows of the claimed key.
+    /// Merges a replica's record of the claimed key; ignored for a write without a claim.
     pub(crate) fn merge_key_state(&mut self, record: &Record) {
         let RecordValue::KeyedRequest(theirs) = &record.value else {
             return;
@@ -92,7 +92,7 @@
 }
 
 impl OpenWrite {
-    /// The session's record with this write open.
+    /// The session record that marks this write as open.
     pub(crate) fn session_record(&self, state: &MemberState, begun: BegunWrite) -> Record {
         let writes = OpenWrites {
             last_begun: begun.number,
@@ -123,7 +123,8 @@
     }
 }
 
-pub(crate) fn first_attempt(now: Ticks, claim: &IdempotencyClaim) -> ClaimedAttempt {
+/// The attempt of a claim as it is recorded before it is sent: its outcome is pending.
+pub(crate) fn pending_attempt(now: Ticks, claim: &IdempotencyClaim) -> ClaimedAttempt {
     ClaimedAttempt {
         key: claim.key,
         attempt_id: claim.attempt_id,
@@ -137,6 +138,7 @@
     }
 }
 
+/// A session record with the writes of one writer: the hash of its incarnation and its first remembered write.
 pub(crate) fn session_record(
     session: u64,
     position: Ticks,
--- a/crates/replication/src/read_coordinator.rs
+++ b/crates/replication/src/read_coordinator.rs
@@ -1,4 +1,5 @@
-//! Reads of records at their replicas: whom to ask, when a quorum has answered, and what a session's read requires.
+//! Coordinates this member's reads of records: which replicas to query, when a quorum has replied, and which
+//! replication position a session's read requires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +14,7 @@
 use crate::request_handler;
 use crate::write_quorum::ReplicaSet;
 
-/// A read of one record, and whom its result is for.
+/// The parameters of a read of one record.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadRequest {
     pub(crate) ticket: u64,
@@ -26,33 +27,33 @@
     ticket: u64,
     key: RecordKey,
     quorum: ReadQuorum,
-    asked: BTreeSet<String>,
-    /// When the replicas not asked yet are asked as well.
+    queried: BTreeSet<String>,
+    /// When the replicas not queried yet are queried as well.
     slow_at: Ticks,
     deadline: Ticks,
 }
 
-/// The reads that wait for replicas.
+/// The reads of this member that wait for replicas.
 #[derive(Debug, Default)]
 pub(crate) struct ReadCoordinator {
     pending: BTreeMap<OperationId, PendingRead>,
     last_tick: Ticks,
-    /// When it was last reported that a read requires the present.
+    /// When an inexact session read was last reported; at most one is reported per lease.
     inexact_reported_at: Option<Ticks>,
 }
 
 impl ReadCoordinator {
-    /// The number of reads that wait.
+    /// The number of reads waiting for replicas.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// The operations that wait, in order.
+    /// The ids of the waiting reads, ascending.
     pub(crate) fn operations(&self) -> impl Iterator<Item = OperationId> {
         self.pending.keys().copied()
     }
 
-    /// When a read is slow or over next.
+    /// The next time at which a read becomes slow or reaches its deadline.
     pub(crate) fn next_deadline(&self) -> Option<Ticks> {
         let deadline = |read: &PendingRead| {
             if read.slow_at > self.last_tick {
@@ -71,7 +72,7 @@
             ticket: request.ticket,
             key: request.key,
             quorum: ReadQuorum::new(layouts.clone()),
-            asked: BTreeSet::new(),
+            queried: BTreeSet::new(),
             slow_at: ctx.now + ctx.queues.slow_after(),
             deadline: ctx.now + request.timeout,
         };
@@ -79,14 +80,14 @@
         if !ctx.state.layout_history.is_known() {
             return self.finish(ctx, id);
         }
-        let mut first = BTreeSet::new();
+        let mut initial = BTreeSet::new();
         for replicas in &layouts {
-            first.extend(preferred_quorum(ctx, replicas));
+            initial.extend(preferred_quorum(ctx, replicas));
         }
-        self.ask(ctx, id, request.key, first);
+        self.query(ctx, id, request.key, initial);
     }
 
-    /// Forgets a read; what is needed to start it anew under another layout.
+    /// Removes a read and returns the request that restarts it under another layout, with the time that it has left.
     pub(crate) fn take_for_restart(&mut self, now: Ticks, id: OperationId) -> Option<ReadRequest> {
         let read = self.pending.remove(&id)?;
         Some(ReadRequest {
@@ -96,12 +97,12 @@
         })
     }
 
-    /// Forgets the read of a ticket, if one waits.
+    /// Removes the read of a ticket, if one is waiting.
     pub(crate) fn cancel(&mut self, ticket: u64) {
         self.pending.retain(|_, read| read.ticket != ticket);
     }
 
-    /// Takes in a replica's reply; none where it can't be asked.
+    /// Handles a replica's reply, none if the replica can't be queried.
     pub(crate) fn on_reply(
         &mut self,
         ctx: &mut Context<'_>,
@@ -117,38 +118,38 @@
             low_watermark: reply.low_watermark,
             partitioned: reply.partitioned,
         });
-        let useless = reply.as_ref().is_none_or(|reply| reply.partitioned);
+        let not_counted = reply.as_ref().is_none_or(|reply| reply.partitioned);
         match read.quorum.on_reply(replica, reply) {
-            ReadStatus::Pending if useless => self.ask_all(ctx, id),
+            ReadStatus::Pending if not_counted => self.query_all(ctx, id),
             ReadStatus::Pending => {}
             ReadStatus::Exact(..) | ReadStatus::QuorumUnreachable(_) => self.finish(ctx, id),
         }
     }
 
-    /// Asks further replicas of a read that has become slow, and finishes one that is over.
+    /// Queries the remaining replicas of a slow read, and finishes one whose deadline has passed.
     pub(crate) fn tick(&mut self, ctx: &mut Context<'_>, id: OperationId) {
         match self.pending.get(&id) {
             Some(read) if ctx.now >= read.deadline => self.finish(ctx, id),
-            Some(read) if ctx.now >= read.slow_at => self.ask_all(ctx, id),
+            Some(read) if ctx.now >= read.slow_at => self.query_all(ctx, id),
             _ => {}
         }
     }
 
-    /// Notes the time of a tick: reads that were slow by then have been sent further.
-    pub(crate) fn on_tick(&mut self, now: Ticks) {
+    /// Records the time of a tick, which queries the remaining replicas of all reads that are slow by then.
+    pub(crate) fn set_last_tick(&mut self, now: Ticks) {
         self.last_tick = now;
     }
 
-    fn ask_all(&mut self, ctx: &mut Context<'_>, id: OperationId) {
+    fn query_all(&mut self, ctx: &mut Context<'_>, id: OperationId) {
         let Some(read) = self.pending.get(&id) else {
             return;
         };
         let key = read.key;
         let replicas = ctx.state.layout_history.all_replicas(key);
-        self.ask(ctx, id, key, replicas);
+        self.query(ctx, id, key, replicas);
     }
 
-    fn ask(
+    fn query(
         &mut self,
         ctx: &mut Context<'_>,
         id: OperationId,
@@ -159,11 +160,11 @@
             let Some(read) = self.pending.get_mut(&id) else {
                 return;
             };
-            if !read.asked.insert(replica.name.clone()) {
+            if !read.queried.insert(replica.name.clone()) {
                 continue;
             }
             if ctx.state.is_local(&replica) {
-                let reply = read_locally(ctx, key);
+                let reply = local_reply(ctx, key);
                 self.on_reply(ctx, id, &replica, reply);
                 continue;
             }
@@ -204,7 +205,7 @@
         ctx.state.actions.push(Action::Complete(completion));
     }
 
-    /// Reports why a session's read requires the present.
+    /// Reports why a session's read has no exact position and so requires a server that is current by now.
     fn report_inexact(&mut self, ctx: &mut Context<'_>, quorum: &ReadQuorum, status: &ReadStatus) {
         let now = ctx.now;
         let interval = ctx.state.leases.length();
@@ -220,7 +221,7 @@
     }
 }
 
-/// Why the replies are no quorum.
+/// Why the replies make no quorum.
 fn inexact_cause(ctx: &Context<'_>, quorum: &ReadQuorum, status: &ReadStatus) -> InexactReadCause {
     if !ctx.state.layout_history.is_known() {
         return InexactReadCause::LayoutsUnknown;
@@ -235,7 +236,7 @@
     InexactReadCause::ReplicasUnreachable
 }
 
-/// As many replicas as make a quorum: this member itself and those in touch before the others.
+/// A quorum of these replicas: this member first, then those in touch, then the others.
 fn preferred_quorum(ctx: &Context<'_>, replicas: &ReplicaSet) -> Vec<ReplicaId> {
     let (state, now) = (&*ctx.state, ctx.now);
     let version = state.layout_history.version();
@@ -249,14 +250,14 @@
     ordered.into_iter().take(quorum).cloned().collect()
 }
 
-/// This member's own reply, where it acts as a replica now.
-fn read_locally(ctx: &Context<'_>, key: RecordKey) -> Option<RecordReply> {
+/// This member's own reply; none if it does not act as a replica now.
+fn local_reply(ctx: &Context<'_>, key: RecordKey) -> Option<RecordReply> {
     let version = ctx.state.layout_history.version();
-    let able = ctx.state.reject_reason(ctx.now, version).is_none();
-    able.then(|| request_handler::record_reply(ctx.state, ctx.now, &ctx.state.local.name, key))
+    let is_active = ctx.state.reject_reason(ctx.now, version).is_none();
+    is_active.then(|| request_handler::record_reply(ctx.state, ctx.now, &ctx.state.local.name, key))
 }
 
-/// Read repair: sends the merged record to replicas that had less.
+/// Read repair: sends the merged record to the replicas that have replied with another one.
 fn repair_stale_replicas(ctx: &mut Context<'_>, read: &PendingRead, record: &Record) {
     if !matches!(read.key, RecordKey::Session(_) | RecordKey::KeyedRequest(_)) {
         return;
@@ -268,7 +269,7 @@
     ctx.queues.send_to(ctx.state, ctx.now, record, &replicas);
 }
 
-/// The position that a session's read requires; none where it is not known exactly.
+/// The replication position that a session's read requires; none if it is not known exactly.
 fn session_position(ctx: &mut Context<'_>, status: ReadStatus) -> Option<Ticks> {
     let position = match status {
         ReadStatus::Exact(record, low_watermark) => {
@@ -282,7 +283,7 @@
     position
 }
 
-/// The position by a session's record; none while a write may be answered whose position is not in it.
+/// The position that a session's record requires; none while a write may be acknowledged whose position it lacks.
 fn required_position(
     ctx: &mut Context<'_>,
     record: Option<&Record>,
@@ -299,16 +300,16 @@
         return Some(low_watermark.max(writes.position));
     }
     let (state, now) = (&*ctx.state, ctx.now);
-    let is_over = |(writer, open): (&(u64, u32), &OpenWrites)| {
+    let has_ended = |(writer, open): (&(u64, u32), &OpenWrites)| {
         !open.is_open() || state.is_surely_over(now, writer.0, open.begun_at)
     };
-    if !writes.overflowed && writes.open_writes.iter().all(is_over) {
+    if !writes.overflowed && writes.open_writes.iter().all(has_ended) {
         close_ended_writes(ctx, *key, writes);
     }
     None
 }
 
-/// Closes writes that ended with their gateway: whatever they came to lies before now.
+/// Closes writes whose gateway has ended or whose time is up: if they were executed, then at a position before now.
 fn close_ended_writes(ctx: &mut Context<'_>, key: RecordKey, writes: &SessionWrites) {
     let open = writes.open_writes.iter().filter(|(_, open)| open.is_open());
     let closed = open.map(|(writer, open)| {
--- a/crates/replication/src/write_coordinator.rs
+++ b/crates/replication/src/write_coordinator.rs
@@ -1,9 +1,10 @@
-//! Writes on their way to their replicas: when a write may be sent to the database, and what is reported once it ends.
+//! Coordinates this member's writes: announces each to its replicas, decides when it may be sent to the database, and
+//! reports its outcome.
 //!
 //! # Invariants
 //!
-//! A write counts as acknowledged only once a quorum of each layout in force has it. Without a quorum a write is cleared
-//! only once every read quorum meets a replica that no longer counts this member as one that replicates its writes.
+//! A write is cleared by quorum only once a quorum of each layout in force has persisted its records. It is cleared
+//! without a quorum only once every read quorum includes a replica at which this member's lease has expired.
 
 mod degraded;
 
@@ -19,13 +20,13 @@
 use crate::member_state::MemberState;
 use crate::outbound_queue::{Delivery, OperationId, QueuedWrite};
 use crate::pending_write::{
-    OpenWrite, PendingWrite, WriteClearance, WriteOutcome, first_attempt, session_record,
+    OpenWrite, PendingWrite, WriteClearance, WriteOutcome, pending_attempt, session_record,
 };
 use crate::placement::ReplicaId;
 use crate::record::{OpenWrites, Record, RecordKey};
 use crate::write_quorum::{WriteQuorum, WriteQuorumEffect};
 
-/// A write that asks whether it may be sent to the database.
+/// The parameters of a write that is to be sent to the database.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WriteRequest {
     pub(crate) ticket: u64,
@@ -34,33 +35,33 @@
     pub(crate) timeout: Ticks,
 }
 
-/// The writes that wait for replicas or are open.
+/// The writes of this member that wait for a quorum or are not finished.
 #[derive(Debug, Default)]
 pub(crate) struct WriteCoordinator {
     pending: BTreeMap<OperationId, PendingWrite>,
-    /// By ticket.
+    /// Unfinished writes by ticket.
     open: BTreeMap<u64, OpenWrite>,
     sessions: LocalSessions,
     quorum_lost: bool,
 }
 
 impl WriteCoordinator {
-    /// The number of writes that wait for a quorum.
+    /// The number of writes waiting for a quorum.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// The number of writes that are not finished.
+    /// The number of writes that have begun and are not finished.
     pub(crate) fn open_len(&self) -> usize {
         self.open.len()
     }
 
-    /// The operations that wait, in order.
+    /// The ids of the writes waiting for a quorum, ascending.
     pub(crate) fn operations(&self) -> impl Iterator<Item = OperationId> {
         self.pending.keys().copied()
     }
 
-    /// When a quorum is slow or over next.
+    /// The next time at which a quorum write becomes slow or reaches its deadline.
     pub(crate) fn next_deadline(&self) -> Option<Ticks> {
         let quorums = self.pending.values().flat_map(|write| &write.quorums);
         quorums
@@ -68,10 +69,10 @@
             .min()
     }
 
-    /// Starts a write: nothing of it is sent to the database before its completion says so.
+    /// Starts a write. Nothing of it may be sent to the database before its completion allows it.
     pub(crate) fn begin(&mut self, ctx: &mut Context<'_>, id: OperationId, request: WriteRequest) {
         let begun = self.sessions.begin_write(ctx.now, request.session);
-        let claimed = request.claim.map(|claim| first_attempt(ctx.now, &claim));
+        let claimed = request.claim.map(|claim| pending_attempt(ctx.now, &claim));
         let open = OpenWrite {
             session: request.session,
             number: begun.number,
@@ -97,12 +98,12 @@
             keys_lost_until: 0,
         };
         self.pending.insert(id, write);
-        self.send_first(ctx, id, &records);
+        self.send_initial(ctx, id, &records);
     }
 
-    fn send_first(&mut self, ctx: &mut Context<'_>, id: OperationId, records: &[Record]) {
+    fn send_initial(&mut self, ctx: &mut Context<'_>, id: OperationId, records: &[Record]) {
         let layouts_known = ctx.state.layout_history.is_known();
-        let early = plant("promise-before-quorum");
+        let premature = plant("promise-before-quorum");
         for record in records {
             let recipients = self.recipients(id, record.key);
             self.send(ctx, id, record, &recipients);
@@ -110,7 +111,7 @@
         ctx.queues.flush(ctx.state, ctx.now);
         if !layouts_known {
             self.apply(ctx, id, WriteQuorumEffect::ProceedWithoutQuorum);
-        } else if early {
+        } else if premature {
             self.apply(ctx, id, WriteQuorumEffect::Acknowledge);
         }
     }
@@ -137,7 +138,7 @@
         }
     }
 
-    /// This member has persisted a record of a write itself.
+    /// Counts this member as a replica that has persisted a record of a write.
     pub(crate) fn on_persisted_locally(
         &mut self,
         ctx: &mut Context<'_>,
@@ -159,7 +160,10 @@
         self.on_acknowledged(ctx, id, key, &local);
     }
 
-    /// A replica has persisted a batch; `merged` are its records of keys, `keys_lost_until` what it may miss of them.
+    /// Counts a replica that has persisted a batch.
+    ///
+    /// `merged` holds its records of idempotency keys after the merge; attempts sent up to `keys_lost_until` may be
+    /// missing there.
     pub(crate) fn on_batch_acknowledged(
         &mut self,
         ctx: &mut Context<'_>,
@@ -183,10 +187,10 @@
         for queued in batch {
             let (id, key) = (queued.operation, queued.record.key);
             self.on_acknowledged(ctx, id, key, replica);
-            // A layout may name the member with another memory: that one is lost.
-            for lost in ctx.state.layout_history.replicas_named(key, &replica.name) {
-                if lost.memory != replica.memory {
-                    self.on_rejected(ctx, id, key, &lost);
+            // A layout may name the member with another storage ID: that storage is lost.
+            for stale in ctx.state.layout_history.replicas_named(key, &replica.name) {
+                if stale.memory != replica.memory {
+                    self.on_rejected(ctx, id, key, &stale);
                 }
             }
         }
@@ -205,7 +209,7 @@
         }
     }
 
-    /// A replica can't have a record of a write now.
+    /// Counts a replica that can't persist a record of a write now.
     pub(crate) fn on_rejected(
         &mut self,
         ctx: &mut Context<'_>,
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Another layout is in force: a quorum of its replicas is needed as well.
+    /// Requires a quorum of the newest layout as well; `newest` is its index among the layouts in force.
     pub(crate) fn on_layout_added(
         &mut self,
         ctx: &mut Context<'_>,
@@ -242,7 +246,7 @@
         }
     }
 
-    /// Time has passed for a write.
+    /// Sends a slow write to all its replicas, and abandons one whose deadline has passed.
     pub(crate) fn tick(&mut self, ctx: &mut Context<'_>, id: OperationId) {
         let Some(write) = self.pending.get_mut(&id) else {
             return;
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Sends a record further, or lets the effect apply to the whole write.
+    /// Applies an effect: sends the record to the remaining replicas, or passes any other effect on to the whole write.
     fn apply_to_record(
         &mut self,
         ctx: &mut Context<'_>,
@@ -270,7 +274,7 @@
         if effect != WriteQuorumEffect::SendToAll {
             return self.apply(ctx, id, effect);
         }
-        let Some(record) = self.record_of(ctx.state, id, key) else {
+        let Some(record) = self.initial_record(ctx.state, id, key) else {
             return;
         };
         let Some(quorum) = self.pending.get(&id).and_then(|write| write.quorum(key)) else {
@@ -286,8 +290,13 @@
         ctx.queues.flush(ctx.state, ctx.now);
     }
 
-    /// A write's record as it was first sent.
-    fn record_of(&self, state: &MemberState, id: OperationId, key: RecordKey) -> Option<Record> {
+    /// The record of a write as it was first sent, to be sent to further replicas.
+    fn initial_record(
+        &self,
+        state: &MemberState,
+        id: OperationId,
+        key: RecordKey,
+    ) -> Option<Record> {
         let open = self.open.get(&self.pending.get(&id)?.ticket)?;
         match key {
             RecordKey::Session(_) => {
@@ -306,9 +315,9 @@
         match effect {
             WriteQuorumEffect::Nothing | WriteQuorumEffect::SendToAll => {}
             WriteQuorumEffect::Acknowledge => {
-                let early = plant("promise-before-quorum");
+                let premature = plant("promise-before-quorum");
                 let write = self.pending.get(&id);
-                if write.is_some_and(|write| early || write.is_acknowledged()) {
+                if write.is_some_and(|write| premature || write.is_acknowledged()) {
                     self.clear_by_quorum(ctx, id);
                 }
             }
@@ -329,9 +338,9 @@
         let decision = write
             .claim
             .map_or(IdempotencyDecision::FirstAttempt, |claim| {
-                let lost = (write.keys_lost_until, config.limits.key_retention);
+                let key_loss = (write.keys_lost_until, config.limits.key_retention);
                 let key_state = write.key_state.as_ref();
-                decide(&claim, key_state, ctx.now, config.max_clock_skew, lost)
+                decide(&claim, key_state, ctx.now, config.max_clock_skew, key_loss)
             });
         let counters = &mut ctx.state.counters;
         counters.accepted_retries += u64::from(matches!(decision, IdempotencyDecision::Retry(_)));
@@ -341,7 +350,7 @@
         ctx.state.actions.push(Action::Complete(completion));
     }
 
-    /// A write has ended, whether it was cleared or not: its outcome goes to the replicas.
+    /// Ends a write, cleared or not, and publishes its outcome to the replicas.
     pub(crate) fn finish(&mut self, ctx: &mut Context<'_>, ticket: u64, outcome: WriteOutcome) {
         self.pending.retain(|_, write| write.ticket != ticket);
         let Some(open) = self.open.remove(&ticket) else {
--- a/crates/replication/src/write_coordinator/degraded.rs
+++ b/crates/replication/src/write_coordinator/degraded.rs
@@ -1,5 +1,5 @@
-//! Writes for which no quorum can be had: rejected while others still count on this member to replicate its writes, then
-//! cleared without a quorum.
+//! Writes that can't reach a quorum: rejected while this member's lease may be valid at a read quorum, then cleared
+//! without a quorum.
 
 use super::WriteCoordinator;
 use crate::Ticks;
@@ -12,11 +12,11 @@
 use crate::placement::{ReplicaId, ReplicationFactor};
 use crate::write_quorum::ReplicaSet;
 
-/// Writes that can't get a quorum for this part of a lease show more than a passing fault.
-const LASTING_FAULTS_PER_LEASE: Ticks = 4;
+/// A session whose writes reach no quorum for a lease divided by this indicates more than a transient fault.
+const PERSISTENT_FAULT_LEASE_DIVISOR: Ticks = 4;
 
 impl WriteCoordinator {
-    /// Reports that quorums can be had again, once after they were lost.
+    /// Reports once, after quorums were lost, that they can be reached again and no write without a quorum is open.
     pub(crate) fn check_quorum_restored(&mut self, ctx: &mut Context<'_>) {
         if self.quorum_lost
             && ctx.state.degraded.open_writes == 0
@@ -28,14 +28,15 @@
         }
     }
 
-    /// No quorum can be had: the write is rejected until every read quorum meets a replica that knows so.
+    /// Handles a write that can't reach a quorum. It is rejected until every read quorum includes a replica at which
+    /// this member's lease has expired, so that reads there do not count as exact.
     pub(super) fn proceed_without_quorum(&mut self, ctx: &mut Context<'_>, id: OperationId) {
         let Some(write) = self.pending.remove(&id) else {
             return;
         };
         let ticket = write.ticket;
         if write.claim.is_some_and(|claim| claim.is_retry) {
-            // Whether it was executed is not known, and can't be asked.
+            // Whether the first attempt was executed is unknown, and no quorum can tell.
             ctx.state.counters.unclear_retries += 1;
             let decision = IdempotencyDecision::OutcomeUnknown;
             let completion = Completion::QuorumAcknowledged { ticket, decision };
@@ -45,7 +46,10 @@
         let keys = write.quorums.iter().map(|(key, _)| *key);
         let mut wait = 0;
         for replicas in keys.flat_map(|key| ctx.state.layout_history.replica_sets(key)) {
-            wait = Ticks::max(wait, accounted_for(ctx.state, ctx.now, &replicas));
+            wait = Ticks::max(
+                wait,
+                remaining_lease_at_quorum(ctx.state, ctx.now, &replicas),
+            );
         }
         if !ctx.state.is_missed_when_silent() {
             wait = wait.max(ctx.state.leases.length() / 4);
@@ -58,12 +62,12 @@
 
     fn reject(&mut self, ctx: &mut Context<'_>, ticket: u64, wait: Ticks) {
         let session = self.open.get(&ticket).map(|open| open.session);
-        let since = session.map_or(ctx.now, |session| {
+        let rejected_since = session.map_or(ctx.now, |session| {
             self.sessions.on_rejected(ctx.now, session)
         });
         let state = &mut *ctx.state;
-        if ctx.now - since >= state.leases.length() / LASTING_FAULTS_PER_LEASE {
-            // No passing fault: this member stops renewing its leases, so that all stop counting on it within one.
+        if ctx.now - rejected_since >= state.leases.length() / PERSISTENT_FAULT_LEASE_DIVISOR {
+            // The fault persists: this member stops renewing its leases, so that all have expired one lease later.
             state.degraded.leases_paused_until =
                 ctx.now + 2 * state.leases.length_with_drift_margin();
         }
@@ -96,20 +100,22 @@
     }
 }
 
-/// How long a quorum of these replicas may still count on this member to replicate its writes.
-fn accounted_for(state: &MemberState, now: Ticks, replicas: &ReplicaSet) -> Ticks {
-    let until = |replica: &ReplicaId| {
-        // A member that has lost the memory a layout names it with counts in nobody's quorum.
-        let counts =
+/// The time until every quorum of these replicas includes one at which this member's lease has expired; 0 if so now.
+fn remaining_lease_at_quorum(state: &MemberState, now: Ticks, replicas: &ReplicaSet) -> Ticks {
+    let lease_expiry = |replica: &ReplicaId| {
+        // A member that has lost the storage by which the layout names it counts towards no quorum.
+        let counts_in_quorum =
             !state.is_local(replica) && state.leases.storage_id(&replica.name) == replica.memory;
-        if counts {
+        if counts_in_quorum {
             state.leases.own_lease_expires_at(&replica.name)
         } else {
             0
         }
     };
-    let mut all: Vec<Ticks> = replicas.iter().map(until).collect();
-    all.sort_unstable();
-    let spare = replicas.len() - ReplicationFactor::quorum(replicas.len());
-    all.get(spare).map_or(0, |until| (until - now).max(0))
+    let mut expiries: Vec<Ticks> = replicas.iter().map(lease_expiry).collect();
+    expiries.sort_unstable();
+    let beyond_quorum = replicas.len() - ReplicationFactor::quorum(replicas.len());
+    expiries
+        .get(beyond_quorum)
+        .map_or(0, |expires_at| (expires_at - now).max(0))
 }
--- a/crates/replication/src/write_quorum.rs
+++ b/crates/replication/src/write_quorum.rs
@@ -154,7 +154,7 @@
         WriteQuorum::across_layouts(vec![replicas], slow_at, deadline)
     }
 
-    /// Starts a write under all layouts in force. Its first recipients are a quorum of each layout and one more replica.
+    /// Starts a write under all layouts in force. Its first recipients are a quorum of each layout and one more.
     #[must_use]
     pub fn across_layouts(
         layouts: Vec<ReplicaSet>,
@@ -222,7 +222,7 @@
         effect
     }
 
-    /// Counts a replica that has persisted the record. One that no layout in force names with its storage ID is ignored.
+    /// Counts a replica that has persisted the record; ignored if no layout in force names it with its storage ID.
     pub fn on_acknowledged(&mut self, replica: &ReplicaId) -> WriteQuorumEffect {
         if !self.layouts.iter().flatten().any(|other| other == replica) {
             return Nothing;
