--- a/crates/replication/src/layout_history.rs
+++ b/crates/replication/src/layout_history.rs
@@ -1,9 +1,9 @@
-//! The layouts in force: the newest, and older ones whose records were not all handed over.
+//! The layouts in force: the newest one, and older ones from which records are still being transferred.
 //!
 //! # Invariants
 //!
-//! An older layout is dropped only once every member of the newest has all of its records. What nobody can hand over any
-//! more counts as lost, not as never written.
+//! An older layout is dropped only once every member of the newest has all of its records. Records that no member can
+//! transfer any more count as lost, not as never written.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,21 +20,21 @@
 struct PlacedLayout {
     layout: Layout,
     placement: Placement,
-    /// When this member took it in.
-    taken_at: Ticks,
+    /// When this member adopted the layout.
+    adopted_at: Ticks,
 }
 
-/// The layouts in force, and what was handed over to this member under the newest.
+/// The layouts in force, and which members have transferred their records to this one under the newest.
 #[derive(Clone, Debug)]
 pub struct LayoutHistory {
     factor: ReplicationFactor,
     /// Oldest first.
     layouts: Vec<PlacedLayout>,
-    /// Versions were skipped, or this member is new: others have to say which layouts are in force.
+    /// Versions were skipped, or this member is new: the layouts in force have to be learned from other members.
     incomplete: bool,
-    /// Members that go by the newest layout and do not know either.
+    /// Members that have adopted the newest layout and do not know the older ones either.
     unknown_to: BTreeSet<String>,
-    /// By member: the memory with which it has handed over all that was reassigned to this one.
+    /// By member: its storage ID when it had transferred all records that were reassigned to this one.
     transferred: BTreeMap<String, u64>,
 }
 
@@ -43,9 +43,9 @@
 pub enum SyncStatus {
     /// It has all of them.
     InSync,
-    /// It has all that anybody can still hand over; what was acknowledged up to then may be lost.
+    /// It has all that other members can still transfer; records acknowledged up to this time may be lost.
     InSyncWithLoss(Ticks),
-    /// It has not.
+    /// Transfers are pending, or the layouts in force are not known.
     Syncing,
 }
 
@@ -62,19 +62,19 @@
         }
     }
 
-    /// The newest layout.
+    /// The newest layout; none before the first.
     #[must_use]
     pub fn newest(&self) -> Option<&Layout> {
         self.layouts.last().map(|placed| &placed.layout)
     }
 
-    /// The version of the newest layout; 0 where there is none.
+    /// The version of the newest layout; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.newest().map_or(0, |layout| layout.version)
     }
 
-    /// The version of the oldest layout in force; 0 where there is none.
+    /// The version of the oldest layout in force; 0 if there is none.
     #[must_use]
     pub fn oldest_version(&self) -> u64 {
         self.layouts().next().map_or(0, |layout| layout.version)
@@ -96,48 +96,51 @@
         !self.layouts.is_empty() && !self.incomplete && self.layouts.len() <= MAX_LAYOUTS
     }
 
-    /// Takes in an agreed layout; whether it is newer than all others.
+    /// Adds an agreed layout. Returns false, and changes nothing, if it is not newer than all others.
     pub fn push(&mut self, now: Ticks, layout: &Layout) -> bool {
         if layout.version == 0 || layout.version <= self.version() {
             return false;
         }
-        // There may have been others between the last one here and this one; before the first there was none.
+        // Versions between the last one known here and this one may be in force too. No layout precedes version 1.
         self.incomplete |= layout.version != self.version() + 1;
         self.layouts.push(PlacedLayout::new(layout, now));
         self.transferred.clear();
         self.unknown_to.clear();
         if self.layouts.len() > MAX_LAYOUTS {
-            // More than fit a message: as for a new member, others tell, or it waits until all are in sync.
+            // More layouts than fit a message. As for a new member, the history is learned from others, or is dropped
+            // once all members are in sync.
             self.layouts.remove(0);
             self.incomplete = true;
         }
         true
     }
 
-    /// Takes in the layouts in force as a member with the same newest one tells them; whether that was wanted.
+    /// Adopts the layouts in force from a member with the same newest layout. Returns false, and changes nothing, if
+    /// the history is complete or the newest layouts differ.
     pub fn on_history_received(&mut self, layouts: &[Layout]) -> bool {
-        let same = self.newest().is_some() && self.newest() == layouts.last();
-        if !self.incomplete || !same {
+        let is_same_newest = self.newest().is_some() && self.newest() == layouts.last();
+        if !self.incomplete || !is_same_newest {
             return false;
         }
-        let newest_taken_at = self.layouts.last().map_or(0, |placed| placed.taken_at);
-        let taken_at = |version: u64| {
+        let newest_adopted_at = self.layouts.last().map_or(0, |placed| placed.adopted_at);
+        let adopted_at = |version: u64| {
             let mut known = self.layouts.iter();
             known
                 .find(|placed| placed.layout.version == version)
-                .map_or(newest_taken_at, |placed| placed.taken_at)
+                .map_or(newest_adopted_at, |placed| placed.adopted_at)
         };
         self.layouts = layouts
             .iter()
-            .map(|layout| PlacedLayout::new(layout, taken_at(layout.version)))
+            .map(|layout| PlacedLayout::new(layout, adopted_at(layout.version)))
             .collect();
         self.incomplete = false;
         true
     }
 
-    /// A member that goes by the newest layout does not know the older ones either.
+    /// Records that a member that has adopted the newest layout does not know the older ones either.
     ///
-    /// Once that holds for all its members the newest is the first that anybody goes by; whether that is so.
+    /// Once that holds for all its members, no older layout is in force anywhere, and they are dropped. Returns whether
+    /// that is so.
     pub fn on_history_unknown_to(&mut self, local: &str, name: &str) -> bool {
         if !self.incomplete {
             return false;
@@ -150,7 +153,7 @@
         unknown_to_all && self.drop_superseded()
     }
 
-    /// Takes in what an earlier incarnation has persisted.
+    /// Restores the layouts that an earlier incarnation has persisted, oldest first.
     pub fn restore(&mut self, now: Ticks, layouts: &[Layout]) {
         self.layouts = layouts
             .iter()
@@ -159,7 +162,7 @@
         self.incomplete = false;
     }
 
-    /// Drops all layouts but the newest; whether there was anything to drop.
+    /// Drops all layouts but the newest. Returns false if no other was in force and the history was complete.
     pub fn drop_superseded(&mut self) -> bool {
         let older = self.layouts.len().saturating_sub(1);
         if older == 0 && !self.incomplete {
@@ -170,15 +173,15 @@
         true
     }
 
-    /// A member has handed over all that was reassigned to this one.
-    pub fn record_transfer(&mut self, name: &str, memory: u64) {
-        self.transferred.insert(name.to_owned(), memory);
+    /// Records that a member, with that storage, has transferred all records that were reassigned to this one.
+    pub fn record_transfer(&mut self, name: &str, storage_id: u64) {
+        self.transferred.insert(name.to_owned(), storage_id);
     }
 
-    /// Whether a member, with that memory, has handed over all that was reassigned to this one.
+    /// Whether a member, with that storage, has transferred all records that were reassigned to this one.
     #[must_use]
-    pub fn has_transferred(&self, name: &str, memory: u64) -> bool {
-        self.transferred.get(name) == Some(&memory)
+    pub fn has_transferred(&self, name: &str, storage_id: u64) -> bool {
+        self.transferred.get(name) == Some(&storage_id)
     }
 
     /// The replicas of a record in each layout in force, oldest first.
@@ -201,7 +204,7 @@
         self.replica_sets(key).into_iter().flatten().collect()
     }
 
-    /// The replicas of a record that have this name, in any layout in force.
+    /// The replicas of a record on the member of this name, by all layouts in force: one per storage ID.
     #[must_use]
     pub fn replicas_named(&self, key: RecordKey, name: &str) -> BTreeSet<ReplicaId> {
         let mut replicas = self.all_replicas(key);
@@ -209,7 +212,7 @@
         replicas
     }
 
-    /// The indices of a record's replicas in the newest layout.
+    /// The indices of a record's replicas among the holders of the newest layout.
     #[must_use]
     pub fn replica_indices(&self, key: RecordKey) -> Vec<usize> {
         self.layouts.last().map_or(Vec::new(), |newest| {
@@ -217,13 +220,13 @@
         })
     }
 
-    /// The index of a member in the newest layout.
+    /// The index of a member among the holders of the newest layout.
     #[must_use]
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.newest_holders().position(|holder| holder.name == name)
     }
 
-    /// Whether a record is a replica's in the newest layout, and was not in some older one in force.
+    /// Whether a replica holds a record under the newest layout but did not under some older one in force.
     pub(crate) fn is_reassigned(&self, key: RecordKey, replica: &ReplicaId) -> bool {
         let has_replica =
             |placed: &PlacedLayout| placed.replicas(key, self.factor).contains(replica);
@@ -232,14 +235,15 @@
             .is_some_and(|(newest, older)| has_replica(newest) && !older.iter().all(has_replica))
     }
 
-    /// How many replicas of any record may be missing while a quorum of them is left: one less than a quorum.
+    /// How many replicas of any record may be missing so that every quorum of them still includes another: one less
+    /// than a quorum.
     fn tolerated_losses(&self, placed: &PlacedLayout) -> usize {
         let holders = placed.layout.holders.iter();
         let machines: BTreeSet<&String> = holders.map(|holder| &holder.machine).collect();
         ReplicationFactor::quorum(self.factor.get().min(machines.len())) - 1
     }
 
-    /// The members of older layouts that have yet to hand over what was reassigned to this one.
+    /// The members of older layouts that have yet to transfer the records that were reassigned to this one.
     #[must_use]
     pub fn pending_transfers(&self, local: &str) -> Vec<ReplicaId> {
         let older = self
@@ -257,15 +261,16 @@
         pending.into_iter().collect()
     }
 
-    /// Whether this member, with its memory, has all of its records under the newest layout.
+    /// Whether this member, with its storage, has all of its records under the newest layout.
     ///
-    /// `expired_after` is how long a member that the newest layout does not name may still act on an older one.
+    /// `expired_after` is how long, from the adoption of the newest layout, a member that it does not name may still
+    /// act on an older one.
     #[must_use]
     pub fn sync_status(
         &self,
         now: Ticks,
         local: &str,
-        memory: u64,
+        storage_id: u64,
         expired_after: Ticks,
     ) -> SyncStatus {
         let Some((newest, older)) = self.layouts.split_last() else {
@@ -279,20 +284,20 @@
         }
         let mut lost_until = 0;
         for placed in older {
-            let has_given = |holder: &ReplicaHolder| {
-                (holder.name == local && holder.storage_id == memory)
+            let has_handed_over = |holder: &ReplicaHolder| {
+                (holder.name == local && holder.storage_id == storage_id)
                     || self.has_transferred(&holder.name, holder.storage_id)
             };
             let holders = placed.layout.holders.iter();
             let missing: Vec<&ReplicaHolder> =
-                holders.filter(|holder| !has_given(holder)).collect();
+                holders.filter(|holder| !has_handed_over(holder)).collect();
             if missing.len() <= self.tolerated_losses(placed) {
                 continue;
             }
-            // A member that the newest layout names with that memory may come back and hand over.
+            // A member that the newest layout names with that storage may come back and transfer its records.
             let may_return =
                 |holder: &&ReplicaHolder| newest.layout.has_holder(&holder.name, holder.storage_id);
-            let expired_at = newest.taken_at + expired_after;
+            let expired_at = newest.adopted_at + expired_after;
             if missing.iter().any(may_return) || now < expired_at {
                 return SyncStatus::Syncing;
             }
@@ -307,11 +312,11 @@
 }
 
 impl PlacedLayout {
-    fn new(layout: &Layout, taken_at: Ticks) -> PlacedLayout {
+    fn new(layout: &Layout, adopted_at: Ticks) -> PlacedLayout {
         PlacedLayout {
             placement: Placement::new(layout),
             layout: layout.clone(),
-            taken_at,
+            adopted_at,
         }
     }
 
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,12 +1,12 @@
-//! Replicates the state a gateway holds to further members, so that losing a machine with its disk loses nothing that
-//! a quorum acknowledged.
+//! Replicates the state that a gateway holds to further members, so that the loss of a machine with its disk loses
+//! nothing that a quorum has acknowledged.
 //!
-//! A record is a value whose merge is commutative, associative and idempotent ([`record`]). Its replicas follow from the
+//! A record is a value with a commutative, associative and idempotent merge ([`record`]). Its replicas follow from the
 //! agreed layouts in force ([`placement`], [`layout_history`]). A write is acknowledged once every later read quorum
-//! meets a replica that has it ([`write_quorum`]); a read counts a replica only with the memory that the layout names
-//! it with ([`read_quorum`]). Leases tell which members may be serving without a quorum; all known attempts of an
-//! idempotency key decide whether a retry may be sent ([`idempotency`]). [`Replicator`] is one member's part in all of
-//! it.
+//! includes a replica that has it ([`write_quorum`]); a read counts a replica only with the storage ID by which the
+//! layout names it ([`read_quorum`]). Leases show which members may be serving without a quorum. Whether a retry may
+//! be sent follows from all known attempts of its idempotency key ([`idempotency`]). [`Replicator`] combines these
+//! into the state machine of one member.
 //!
 //! The package does no I/O and reads no clock: each call is given the time in whole ticks of 100 µs.
 
@@ -56,5 +56,5 @@
 pub use status::{QueueSizes, ReplicationCounters, ReplicationStatus};
 pub use write_quorum::{WriteQuorum, WriteQuorumEffect, WriteQuorumState};
 
-/// Time, in whole ticks of 100 µs.
+/// A point in time since the Unix epoch, or a duration, in whole ticks of 100 µs.
 pub type Ticks = i64;
--- a/crates/replication/src/replicator.rs
+++ b/crates/replication/src/replicator.rs
@@ -1,7 +1,8 @@
-//! One member's part in replication: its own writes and reads, its duties as a replica, its leases and its repair.
+//! The replication state machine of one member: its own writes and reads, its requests as a replica, its leases and
+//! anti-entropy.
 //!
-//! Each call is given the time, which never goes back and is near the time of day on all machines, and returns the
-//! actions that the runtime is to carry out, in order.
+//! Each call is given the time and returns the actions that the runtime has to carry out, in order. The time must be
+//! monotonic, and near the wall-clock time on all machines.
 
 mod inbound;
 mod lease_renewal;
@@ -25,19 +26,19 @@
 use crate::status::ReplicationCounters;
 use crate::write_coordinator::WriteRequest;
 
-/// A lease is renewed this often while it lasts.
+/// Renewals per lease duration.
 const RENEWALS_PER_LEASE: Ticks = 4;
 
-/// What an earlier incarnation with the same memory has persisted.
+/// The state that an earlier incarnation with the same storage has persisted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
-    /// None where not all of it could be read back.
+    /// None if not all of the persisted state could be read back.
     pub metadata: Option<PersistedMetadata>,
-    /// The records that could be read back.
+    /// The records that could be read back; invalid ones are ignored.
     pub records: Vec<Record>,
 }
 
-/// One member of the replicated state.
+/// One member of the replicated state, without I/O and clock.
 pub struct Replicator {
     state: MemberState,
     coordinator: Coordinator,
@@ -46,7 +47,7 @@
 }
 
 impl Replicator {
-    /// Starts a member; `recovered` is none where its memory is a new one.
+    /// Starts a member; `recovered` is none if its storage is new.
     #[must_use]
     pub fn new(
         now: Ticks,
@@ -68,31 +69,31 @@
         }
     }
 
-    /// The member that this process is.
+    /// The name, incarnation and storage ID of this member.
     #[must_use]
     pub fn local_member(&self) -> &LocalMember {
         &self.state.local
     }
 
-    /// Takes a higher incarnation, as membership has refuted a report on the current one.
+    /// Sets a higher incarnation, by which membership has refuted a report on the current one.
     pub fn set_incarnation(&mut self, incarnation: u64) {
         self.state.local.incarnation = incarnation;
     }
 
-    /// Sets whether this is an active member, and not leaving.
+    /// Sets whether this member is active: in the membership and not leaving.
     pub fn set_participating(&mut self, active: bool) {
         self.state.participation.active = active;
     }
 
-    /// Takes in the agreed layout; one that is not newer changes nothing.
+    /// Adopts an agreed layout; one that is not newer than the current one is ignored.
     pub fn on_layout_changed(&mut self, now: Ticks, layout: &Layout) -> Vec<Action> {
-        let first = self.state.layout_history.version() == 0;
+        let had_no_layout = self.state.layout_history.version() == 0;
         if !self.state.layout_history.push(now, layout) {
             return self.take_actions();
         }
         let state = &mut self.state;
-        if first && layout.version == 1 {
-            // Before the first layout nothing was replicated, but writes may have been answered.
+        if had_no_layout && layout.version == 1 {
+            // Writes that were answered before the first layout are not replicated.
             let until = now + state.config.max_clock_skew;
             state.store.raise_low_watermark(until);
         }
@@ -107,7 +108,7 @@
         self.take_actions()
     }
 
-    /// Begins a write; its completion follows within the quorum timeout and `timeout`.
+    /// Begins a write. Its completion follows within `timeout` or the quorum timeout, whichever is shorter.
     pub fn begin_write(
         &mut self,
         now: Ticks,
@@ -126,14 +127,15 @@
         self.take_actions()
     }
 
-    /// Takes in the outcome of a write, whether it was cleared or not.
+    /// Ends a write, cleared or not, and replicates its outcome.
     pub fn finish_write(&mut self, now: Ticks, ticket: u64, outcome: WriteOutcome) -> Vec<Action> {
         self.coordinator
             .finish_write(&mut self.state, now, ticket, outcome);
         self.take_actions()
     }
 
-    /// Reads the position that a session requires.
+    /// Reads the replication position that a session requires, within `timeout` or the quorum timeout, whichever is
+    /// shorter.
     pub fn read_session(
         &mut self,
         now: Ticks,
@@ -145,7 +147,7 @@
         self.read_record(now, ticket, RecordKey::Session(session), timeout)
     }
 
-    /// Reads any record.
+    /// Reads a record at a quorum of its replicas; the quorum timeout does not apply.
     pub fn read_record(
         &mut self,
         now: Ticks,
@@ -162,19 +164,19 @@
         self.take_actions()
     }
 
-    /// Sends a record to its replicas; nobody waits for it.
+    /// Sends a record to its replicas, without a completion.
     pub fn publish(&mut self, now: Ticks, record: &Record) -> Vec<Action> {
         self.coordinator.publish(&mut self.state, now, record);
         self.take_actions()
     }
 
-    /// Whether the layouts in force are known, and enough of their members in touch.
+    /// Whether the layouts in force are known and more than half of the newest layout's members are in touch.
     #[must_use]
     pub fn is_ready(&self, now: Ticks) -> bool {
         self.state.layout_history.is_known() && self.state.has_layout_quorum(now)
     }
 
-    /// Takes in a message of another member; one that breaks a bound, or of an ended incarnation, is dropped whole.
+    /// Handles a message of another member. A message that breaks a bound, or of an ended incarnation, is dropped.
     pub fn on_message(&mut self, now: Ticks, envelope: &Envelope) -> Vec<Action> {
         let state = &mut self.state;
         if !envelope.is_valid() || envelope.sender == state.local.name {
@@ -182,50 +184,50 @@
             return self.take_actions();
         }
         state.counters.messages_received += 1;
-        let known = state.leases.incarnation(&envelope.sender);
-        if envelope.incarnation < known {
+        let known_incarnation = state.leases.incarnation(&envelope.sender);
+        if envelope.incarnation < known_incarnation {
             return self.take_actions();
         }
-        self.observe_member(now, &envelope.sender, envelope.incarnation, envelope.memory);
+        self.observe_incarnation(now, &envelope.sender, envelope.incarnation, envelope.memory);
         let (name, version) = (&envelope.sender, envelope.layout_version);
         if version == self.state.layout_history.version()
             && self.state.leases.needs_renewal(now, name, version)
         {
-            // It has just come to this layout: its lease is not left to the next round.
+            // The sender has just adopted this layout: renew at once instead of with the next periodic renewal.
             self.renew_lease(now, name);
         }
         self.dispatch(now, envelope);
         self.take_actions()
     }
 
-    /// An incarnation of a member exists: earlier ones have ended.
-    fn observe_member(&mut self, now: Ticks, name: &str, incarnation: u64, memory: u64) {
+    /// Records an incarnation of a member, which implies that earlier ones have ended.
+    fn observe_incarnation(&mut self, now: Ticks, name: &str, incarnation: u64, storage_id: u64) {
         let state = &mut self.state;
-        let before = state.leases.incarnation(name);
+        let previous = state.leases.incarnation(name);
         let change = state
             .leases
-            .on_incarnation_observed(now, name, incarnation, memory);
-        if before > 0 && before < incarnation {
-            state.on_writer_ended(writer_id(name, before));
+            .on_incarnation_observed(now, name, incarnation, storage_id);
+        if previous > 0 && previous < incarnation {
+            state.on_writer_ended(writer_id(name, previous));
         }
         state.on_lease_change(now, change);
     }
 
-    /// Takes in an incarnation of a member that membership has heard of.
+    /// Records an incarnation of a member that membership has reported.
     pub fn on_incarnation_observed(
         &mut self,
         now: Ticks,
         name: &str,
         incarnation: u64,
-        memory: u64,
+        storage_id: u64,
     ) -> Vec<Action> {
         if name != self.state.local.name {
-            self.observe_member(now, name, incarnation, memory);
+            self.observe_incarnation(now, name, incarnation, storage_id);
         }
         self.take_actions()
     }
 
-    /// Drops the older layouts once all members of the newest have all of their records.
+    /// Drops the older layouts once all members of the newest one are in sync.
     fn drop_superseded_layouts(&mut self, now: Ticks) {
         let state = &mut self.state;
         let Some(layout) = state.layout_history.newest() else {
@@ -236,7 +238,7 @@
         if history.is_known() && history.oldest_version() == layout_version {
             return;
         }
-        let all_synced = layout.holders.iter().all(|holder| {
+        let all_in_sync = layout.holders.iter().all(|holder| {
             if holder.name == state.local.name {
                 return holder.storage_id == state.local.memory
                     && state.sync.layout_version >= layout_version;
@@ -244,7 +246,7 @@
             state.leases.storage_id(&holder.name) == holder.storage_id
                 && state.leases.synced_version(&holder.name) >= layout_version
         });
-        if all_synced && state.layout_history.drop_superseded() {
+        if all_in_sync && state.layout_history.drop_superseded() {
             let event = ReplicationEvent::LayoutsConverged { layout_version };
             state.actions.push(Action::Notify(event));
             state.persist_metadata(None);
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Takes in that all persist actions up to this sequence number are done.
+    /// Runs what waited for the persist actions up to this sequence number, which are done.
     pub fn on_persisted(&mut self, now: Ticks, sequence: u64) -> Vec<Action> {
         for completion in self.state.take_persisted(sequence) {
             self.complete(now, completion);
@@ -294,22 +296,23 @@
         }
     }
 
-    /// Takes in that nothing is persisted any more: this member is no replica from here on.
+    /// Handles a disk failure: nothing is persisted any more, and this member no longer acts as a replica.
     pub fn on_persist_failed(&mut self) -> Vec<Action> {
         self.state.on_persist_failed();
         self.take_actions()
     }
 
-    /// When [`Replicator::tick`] is wanted next.
+    /// When [`Replicator::tick`] is due next.
     #[must_use]
     pub fn next_deadline(&self) -> Ticks {
-        let own = self.next_renewal.min(self.anti_entropy.next_deadline());
+        let member_deadline = self.next_renewal.min(self.anti_entropy.next_deadline());
         self.coordinator
             .next_deadline()
-            .map_or(own, |at| at.min(own))
+            .map_or(member_deadline, |deadline| deadline.min(member_deadline))
     }
 
-    /// Lets time pass, up to [`Replicator::next_deadline`] or beyond.
+    /// Renews leases and runs timeouts and anti-entropy that are due; to be called at [`Replicator::next_deadline`] or
+    /// later.
     pub fn tick(&mut self, now: Ticks) -> Vec<Action> {
         if now >= self.next_renewal {
             self.next_renewal = now + self.state.config.lease_duration / RENEWALS_PER_LEASE;
@@ -321,14 +324,15 @@
         self.take_actions()
     }
 
-    /// Starts to compare this member's records with all other replicas; see [`Replicator::comparisons`].
+    /// Starts comparing this member's records with those of all other replicas; see [`Replicator::comparisons`].
     pub fn start_comparison(&mut self) {
         self.anti_entropy.start_comparison(&self.state);
     }
 
-    /// The last comparison with each member, and how many are still to come.
+    /// The last comparison with each member, and the number of comparisons still to be done.
     ///
-    /// Of each: the member, when it ended, buckets that differed, records that were new here.
+    /// Of each comparison: the member's name, when it ended, the buckets that differed, and the records received that
+    /// were new here.
     #[must_use]
     pub fn comparisons(&self) -> (Vec<(String, Ticks, usize, u64)>, usize) {
         let comparisons = self.anti_entropy.comparisons().iter().map(|(name, last)| {
@@ -342,7 +346,7 @@
         (comparisons.collect(), self.anti_entropy.remaining())
     }
 
-    /// Counters since the start.
+    /// Counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> ReplicationCounters {
         self.state.counters
@@ -353,14 +357,14 @@
     }
 }
 
-/// Takes in what an earlier incarnation has persisted.
+/// Restores the state that an earlier incarnation has persisted.
 fn restore(state: &mut MemberState, now: Ticks, recovered: &RecoveredState) {
     match &recovered.metadata {
         Some(metadata) => {
             state.store.raise_low_watermark(metadata.low_watermark);
             state.layout_history.restore(now, &metadata.layouts);
         }
-        // Records of others may be gone, though this member counts as one that has them.
+        // Records may be lost although layouts name this member as a replica that has them.
         None => {
             let until = now + state.config.max_clock_skew;
             state.store.raise_low_watermark(until);
--- a/crates/replication/src/replicator/inbound.rs
+++ b/crates/replication/src/replicator/inbound.rs
@@ -1,4 +1,5 @@
-//! What a member makes of the messages of others.
+//! Handles messages of other members: lease replies and layout histories here, replies by the coordinator or
+//! anti-entropy, requests by the request handler.
 
 use leverpoint_membership::layout::Layout;
 
@@ -9,7 +10,7 @@
 use crate::request_handler;
 
 impl Replicator {
-    /// Hands a valid message to the part that it is for.
+    /// Passes a valid message on to its handler.
     pub(super) fn dispatch(&mut self, now: Ticks, envelope: &Envelope) {
         let same_layout = envelope.layout_version == self.state.layout_history.version();
         match &envelope.message {
@@ -23,7 +24,7 @@
                 reason: RejectReason::LayoutHistoryUnknown,
             } => {
                 if same_layout {
-                    self.on_layouts_unknown_to(now, &envelope.sender);
+                    self.on_history_unknown_to(now, &envelope.sender);
                 }
             }
             Message::WriteAcknowledged { .. }
@@ -81,11 +82,11 @@
         }
     }
 
-    fn on_layouts_unknown_to(&mut self, now: Ticks, name: &str) {
+    fn on_history_unknown_to(&mut self, now: Ticks, name: &str) {
         let state = &mut self.state;
         let local = &state.local.name;
         if state.layout_history.on_history_unknown_to(local, name) {
-            // No layout before the newest is known to anybody: no quorum has acknowledged anything by one.
+            // No member knows an older layout, so no quorum has acknowledged anything under one.
             let until = now + state.config.max_clock_skew;
             state.store.raise_low_watermark(until);
             state.persist_metadata(None);
--- a/crates/replication/src/replicator/lease_renewal.rs
+++ b/crates/replication/src/replicator/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Renewing this member's leases at the others, and ending them when it leaves.
+//! Renews this member's leases at the other members, and announces its orderly shutdown.
 
 use super::Replicator;
 use crate::Ticks;
@@ -6,7 +6,7 @@
 use crate::message::Message;
 
 impl Replicator {
-    /// Renews the lease at all other members of the newest layout.
+    /// Renews the lease at all other members of the newest layout, and asks them for the layouts in force if unknown.
     pub(super) fn renew_leases(&mut self, now: Ticks) {
         let others = self.state.other_replicas();
         if !self.state.layout_history.is_known() {
@@ -20,7 +20,8 @@
         }
     }
 
-    /// Renews the lease at one member; while writes are answered without a quorum it echoes no time.
+    /// Sends a lease renewal to one member. While this member serves without a quorum or has paused its leases, the
+    /// renewal echoes no time, and so extends no lease.
     pub(super) fn renew_lease(&mut self, now: Ticks, name: &str) {
         let state = &mut self.state;
         let request_id = state.next_request_id();
@@ -39,11 +40,14 @@
         state.send(name, request_id, message);
     }
 
-    /// Announces an orderly end, once nothing of this member is open any more.
+    /// Stops taking part, and announces an orderly shutdown to the other members.
+    ///
+    /// A member that has answered writes without a quorum, or has one open, announces none: it renews its leases, which
+    /// reports the time of those writes.
     pub fn leave(&mut self, now: Ticks) -> Vec<Action> {
         let state = &mut self.state;
         state.participation.active = false;
-        // Answers without a quorum are handed over first; while any write is open no end is announced.
+        // An announced end extends this member's lease, under which all its answers have to be replicated.
         if state.degraded.open_writes > 0 || state.degraded.answered_until != 0 {
             self.renew_leases(now);
             return self.take_actions();
--- a/crates/replication/src/replicator/reporting.rs
+++ b/crates/replication/src/replicator/reporting.rs
@@ -1,4 +1,4 @@
-//! Status and metrics of a member.
+//! Status and metrics of a member, as operators see them.
 
 use super::Replicator;
 use crate::Ticks;
@@ -6,13 +6,13 @@
 use crate::status::ReplicationStatus;
 
 impl Replicator {
-    /// The status of this member; goes through all records.
+    /// The status of this member. Scans all records, to count them by kind.
     #[must_use]
     pub fn status(&self, now: Ticks) -> ReplicationStatus {
         let state = &self.state;
-        let count = |is: fn(&RecordValue) -> bool| {
+        let count = |predicate: fn(&RecordValue) -> bool| {
             let records = state.store.iter();
-            records.filter(|record| is(&record.value)).count()
+            records.filter(|record| predicate(&record.value)).count()
         };
         let session_records = count(|value| matches!(value, RecordValue::Session(_)));
         let keyed_requests = count(|value| matches!(value, RecordValue::KeyedRequest(_)));
@@ -37,7 +37,7 @@
         }
     }
 
-    /// One line of names and counts.
+    /// The metrics of this member as one line of space-separated `name=value` pairs.
     #[must_use]
     pub fn metrics_line(&self, now: Ticks) -> String {
         let (state, sizes) = (&self.state, self.coordinator.queue_sizes());
