--- a/crates/replication/tests/idempotency.rs
+++ b/crates/replication/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Deciding on retries under an idempotency key.
+//! Tests of the decision whether an attempt under an idempotency key may be sent.
 
 use leverpoint_replication::idempotency::decide;
 use leverpoint_replication::{
@@ -8,115 +8,116 @@
 
 #[test]
 fn retry_is_sent_only_to_the_first_replica_set_and_within_its_window() {
-    let one = |set, first, ended| KeyedAttempt {
+    let attempt = |set, first_sent_at, outcome_so_far| KeyedAttempt {
         replica_set: set,
-        first_sent: first,
-        deduplicated_until: first + 20_000,
-        outcome: ended,
+        first_sent: first_sent_at,
+        deduplicated_until: first_sent_at + 20_000,
+        outcome: outcome_so_far,
         is_first: false,
     };
-    let claim = |set, repeat| IdempotencyClaim {
+    let claim = |set, retry| IdempotencyClaim {
         key: 9,
         attempt_id: 7,
         replica_set: set,
         deduplication: DeduplicationDomain::ReplicaSet,
         deduplication_window: 20_000,
-        is_retry: repeat,
+        is_retry: retry,
     };
     let mut record = Record {
         key: RecordKey::KeyedRequest(9),
         value: RecordValue::KeyedRequest(KeyedRequestState::with_attempt(
             1,
-            one(2, 500, KeyedOutcome::PossiblyExecuted),
+            attempt(2, 500, KeyedOutcome::PossiblyExecuted),
         )),
     };
     record.merge(&Record {
         key: RecordKey::KeyedRequest(9),
         value: RecordValue::KeyedRequest(KeyedRequestState::with_attempt(
             7,
-            one(2, 900, KeyedOutcome::Pending),
+            attempt(2, 900, KeyedOutcome::Pending),
         )),
     });
-    let of = |record: &Record, claim: &IdempotencyClaim, now, lost| {
-        let RecordValue::KeyedRequest(fate) = &record.value else {
-            panic!("a key")
+    let decide_on = |record: &Record, claim: &IdempotencyClaim, now, lost_until| {
+        let RecordValue::KeyedRequest(state) = &record.value else {
+            panic!("expected KeyedRequest")
         };
-        decide(claim, Some(fate), now, 10, (lost, 60_000))
+        decide(claim, Some(state), now, 10, (lost_until, 60_000))
     };
     assert_eq!(
-        of(&record, &claim(2, true), 20_000, 0),
+        decide_on(&record, &claim(2, true), 20_000, 0),
         IdempotencyDecision::Retry(500)
     );
     assert_eq!(
-        of(&record, &claim(3, true), 20_000, 0),
+        decide_on(&record, &claim(3, true), 20_000, 0),
         IdempotencyDecision::OutcomeUnknown,
-        "another set"
+        "another replica set than the first attempt"
     );
     assert_eq!(
-        of(&record, &claim(2, true), 20_495, 0),
+        decide_on(&record, &claim(2, true), 20_495, 0),
         IdempotencyDecision::OutcomeUnknown,
-        "the window is over by some clock"
+        "the deduplication window may have ended by the clock of another machine"
     );
     assert_eq!(
-        of(&record, &claim(2, true), 20_000, 10_000),
+        decide_on(&record, &claim(2, true), 20_000, 10_000),
         IdempotencyDecision::OutcomeUnknown,
-        "one before may have been lost"
+        "the record of an earlier attempt may be lost"
     );
     assert_eq!(
-        of(&record, &claim(2, true), 80_000, 10_000),
+        decide_on(&record, &claim(2, true), 80_000, 10_000),
         IdempotencyDecision::OutcomeUnknown
     );
-    // Nothing was sent before one that its client did not call a repeat.
-    let mut known = record.clone();
-    let original = KeyedAttempt {
+    // No attempt precedes one that the client did not declare a retry.
+    let mut with_first = record.clone();
+    let first_attempt = KeyedAttempt {
         is_first: true,
-        ..one(2, 400, KeyedOutcome::Pending)
+        ..attempt(2, 400, KeyedOutcome::Pending)
     };
-    known.merge(&Record {
+    with_first.merge(&Record {
         key: RecordKey::KeyedRequest(9),
-        value: RecordValue::KeyedRequest(KeyedRequestState::with_attempt(2, original)),
+        value: RecordValue::KeyedRequest(KeyedRequestState::with_attempt(2, first_attempt)),
     });
     assert_eq!(
-        of(&known, &claim(2, true), 20_000, 10_000),
+        decide_on(&with_first, &claim(2, true), 20_000, 10_000),
         IdempotencyDecision::Retry(400)
     );
-    for drops in [DeduplicationDomain::Zone, DeduplicationDomain::Global] {
+    for domain in [DeduplicationDomain::Zone, DeduplicationDomain::Global] {
         let claim = IdempotencyClaim {
-            deduplication: drops,
+            deduplication: domain,
             ..claim(3, true)
         };
-        let goes = drops == DeduplicationDomain::Global;
+        let is_recognized = domain == DeduplicationDomain::Global;
         assert_eq!(
-            of(&record, &claim, 20_000, 0),
-            if goes {
+            decide_on(&record, &claim, 20_000, 0),
+            if is_recognized {
                 IdempotencyDecision::Retry(500)
             } else {
                 IdempotencyDecision::OutcomeUnknown
             }
         );
     }
-    // One that surely never ran binds nobody; one that ran elsewhere before does.
-    let RecordValue::KeyedRequest(fate) = &mut record.value else {
-        panic!("a key")
+    // An attempt that was not executed does not restrict others; one executed earlier at another replica set does.
+    let RecordValue::KeyedRequest(state) = &mut record.value else {
+        panic!("expected KeyedRequest")
     };
-    fate.attempts
-        .insert(1, one(2, 500, KeyedOutcome::NotExecuted));
+    state
+        .attempts
+        .insert(1, attempt(2, 500, KeyedOutcome::NotExecuted));
     assert_eq!(
-        of(&record, &claim(2, true), 20_000, 0),
+        decide_on(&record, &claim(2, true), 20_000, 0),
         IdempotencyDecision::FirstAttempt
     );
     record.merge(&Record {
         key: RecordKey::KeyedRequest(9),
         value: RecordValue::KeyedRequest(KeyedRequestState::with_attempt(
             3,
-            one(3, 100, KeyedOutcome::Executed),
+            attempt(3, 100, KeyedOutcome::Executed),
         )),
     });
     assert_eq!(
-        of(&record, &claim(2, true), 20_000, 0),
+        decide_on(&record, &claim(2, true), 20_000, 0),
         IdempotencyDecision::OutcomeUnknown
     );
-    // Nothing is known: a new key goes, and one that is said to be a repeat only where none was forgotten.
+    // No attempt is known: a new key may be sent, a declared retry only if no record of its key can be lost.
     assert_eq!(
         decide(&claim(2, true), None, 90_000, 10, (20_000, 60_000)),
         IdempotencyDecision::FirstAttempt
--- a/crates/replication/tests/replicator.rs
+++ b/crates/replication/tests/replicator.rs
@@ -1,4 +1,4 @@
-//! Whole fleets of replicators, message by message: quorum writes, leases, partitions, repair.
+//! Tests of clusters of replicators that exchange messages: quorum writes, leases, partitions, repair.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,146 +10,150 @@
     WriteOutcome,
 };
 
-const BEGAN: Ticks = 17_000_000_000_000;
+const START: Ticks = 17_000_000_000_000;
 
-/// Members by number; messages are delivered at once unless the link is cut, the receiver is gone, or they are held back.
-struct Fleet {
+/// Members by number. A message is delivered at once, unless its link is cut or held or its receiver is gone.
+struct Cluster {
     now: Ticks,
     members: BTreeMap<usize, Replicator>,
-    cut: BTreeSet<(usize, usize)>,
-    /// What goes on these ways is not carried until it is let go.
-    held: BTreeSet<(usize, usize)>,
-    late: Vec<(usize, usize, Envelope)>,
-    line: VecDeque<(usize, usize, Envelope)>,
-    done: BTreeMap<(usize, u64), Completion>,
-    /// Members whose disks keep nothing more.
-    broken: BTreeSet<usize>,
-    kept: BTreeMap<
+    cut_links: BTreeSet<(usize, usize)>,
+    /// Links, as sender and receiver, whose messages are put into `held_messages` instead.
+    held_links: BTreeSet<(usize, usize)>,
+    held_messages: Vec<(usize, usize, Envelope)>,
+    in_transit: VecDeque<(usize, usize, Envelope)>,
+    completions: BTreeMap<(usize, u64), Completion>,
+    /// Members whose disks have failed.
+    failed_disks: BTreeSet<usize>,
+    persisted: BTreeMap<
         usize,
         (
             Option<leverpoint_replication::PersistedMetadata>,
             BTreeMap<leverpoint_replication::RecordKey, Record>,
         ),
     >,
-    tickets: u64,
+    last_ticket: u64,
 }
 
-fn layout(version: u64, of: &[(usize, u64)]) -> Layout {
-    let holder = |(n, memory): &(usize, u64)| ReplicaHolder {
+fn layout(version: u64, holders: &[(usize, u64)]) -> Layout {
+    let holder = |(n, storage): &(usize, u64)| ReplicaHolder {
         name: format!("n{n}"),
-        storage_id: *memory,
+        storage_id: *storage,
         machine: format!("m{n}"),
         zone: String::new(),
     };
     Layout {
         version,
-        holders: of.iter().map(holder).collect(),
+        holders: holders.iter().map(holder).collect(),
     }
 }
 
-fn me(n: usize, life: u64, memory: u64) -> LocalMember {
+fn local_member(n: usize, number: u64, memory: u64) -> LocalMember {
     LocalMember {
         name: format!("n{n}"),
-        incarnation: life,
+        incarnation: number,
         memory,
     }
 }
 
-fn claim(key: u64, number: u64, set: u16, repeat: bool) -> Option<IdempotencyClaim> {
+fn claim(key: u64, attempt: u64, set: u16, retry: bool) -> Option<IdempotencyClaim> {
     Some(IdempotencyClaim {
         key,
-        attempt_id: number,
+        attempt_id: attempt,
         replica_set: set,
         deduplication: DeduplicationDomain::ReplicaSet,
         deduplication_window: 30_000,
-        is_retry: repeat,
+        is_retry: retry,
     })
 }
 
-impl Fleet {
-    /// So many that have founded version 1, in touch for some leases, long enough ago that no key can be from before.
-    fn new(many: usize) -> Fleet {
-        let mut fleet = Fleet {
-            now: BEGAN,
+impl Cluster {
+    /// A cluster under layout version 1 after 70 s: every lease is established, and every idempotency key that can have
+    /// been used before the layout is expired.
+    fn new(count: usize) -> Cluster {
+        let mut cluster = Cluster {
+            now: START,
             members: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            held: BTreeSet::new(),
-            late: Vec::new(),
-            line: VecDeque::new(),
-            done: BTreeMap::new(),
-            broken: BTreeSet::new(),
-            kept: BTreeMap::new(),
-            tickets: 0,
+            cut_links: BTreeSet::new(),
+            held_links: BTreeSet::new(),
+            held_messages: Vec::new(),
+            in_transit: VecDeque::new(),
+            completions: BTreeMap::new(),
+            failed_disks: BTreeSet::new(),
+            persisted: BTreeMap::new(),
+            last_ticket: 0,
         };
-        for n in 0..many {
-            fleet.members.insert(
+        for n in 0..count {
+            cluster.members.insert(
                 n,
                 Replicator::new(
-                    BEGAN,
-                    me(n, 1, n as u64 + 1),
+                    START,
+                    local_member(n, 1, n as u64 + 1),
                     ReplicationConfig::default(),
                     None,
                 ),
             );
         }
-        let all: Vec<(usize, u64)> = (0..many).map(|n| (n, n as u64 + 1)).collect();
-        fleet.agree_on(&layout(1, &all));
-        fleet.advance(700_000);
-        fleet
+        let holders: Vec<(usize, u64)> = (0..count).map(|n| (n, n as u64 + 1)).collect();
+        cluster.adopt_layout_everywhere(&layout(1, &holders));
+        cluster.advance(700_000);
+        cluster
     }
 
-    fn agree_on(&mut self, layout: &Layout) {
-        let all: Vec<usize> = self.members.keys().copied().collect();
-        for n in all {
-            self.take_layout(n, layout);
+    fn adopt_layout_everywhere(&mut self, layout: &Layout) {
+        let members: Vec<usize> = self.members.keys().copied().collect();
+        for n in members {
+            self.adopt_layout(n, layout);
         }
         self.deliver_all();
     }
 
-    fn take_layout(&mut self, n: usize, layout: &Layout) {
+    fn adopt_layout(&mut self, n: usize, layout: &Layout) {
         let Some(member) = self.members.get_mut(&n) else {
             return;
         };
         member.set_participating(true);
-        let all = member.on_layout_changed(self.now, layout);
-        self.carry_out(n, all);
+        let actions = member.on_layout_changed(self.now, layout);
+        self.perform(n, actions);
     }
 
-    fn carry_out(&mut self, n: usize, all: Vec<Action>) {
-        for one in all {
-            match one {
+    fn perform(&mut self, n: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
                 Action::Send { to, envelope } => {
                     let to: usize = to[1..].parse().unwrap();
-                    if self.held.contains(&(n, to)) {
-                        self.late.push((n, to, *envelope));
+                    if self.held_links.contains(&(n, to)) {
+                        self.held_messages.push((n, to, *envelope));
                     } else {
-                        self.line.push_back((n, to, *envelope));
+                        self.in_transit.push_back((n, to, *envelope));
                     }
                 }
                 Action::Persist {
-                    sequence: number,
+                    sequence: persist_sequence,
                     records,
-                    metadata: meta,
+                    metadata: new_metadata,
                 } => {
-                    let kept = self.kept.entry(n).or_default();
-                    kept.1
+                    let storage = self.persisted.entry(n).or_default();
+                    storage
+                        .1
                         .extend(records.into_iter().map(|record| (record.key, record)));
-                    kept.0 = meta.or(kept.0.take());
+                    storage.0 = new_metadata.or(storage.0.take());
                     let now = self.now;
                     let Some(member) = self.members.get_mut(&n) else {
                         return;
                     };
-                    let all = if self.broken.contains(&n) {
+                    let actions = if self.failed_disks.contains(&n) {
                         member.on_persist_failed()
                     } else {
-                        member.on_persisted(now, number)
+                        member.on_persisted(now, persist_sequence)
                     };
-                    self.carry_out(n, all);
+                    self.perform(n, actions);
                 }
-                Action::Complete(done) => {
+                Action::Complete(completion) => {
                     assert!(
-                        self.done.insert((n, done.ticket()), done).is_none(),
-                        "told twice"
+                        self.completions
+                            .insert((n, completion.ticket()), completion)
+                            .is_none(),
+                        "completed twice"
                     );
                 }
                 Action::Notify(_) => {}
@@ -158,26 +162,26 @@
     }
 
     fn deliver_all(&mut self) {
-        while let Some((from, to, envelope)) = self.line.pop_front() {
-            if self.cut.contains(&(from, to)) {
+        while let Some((from, to, envelope)) = self.in_transit.pop_front() {
+            if self.cut_links.contains(&(from, to)) {
                 continue;
             }
             let now = self.now;
             let Some(member) = self.members.get_mut(&to) else {
                 continue;
             };
-            let all = member.on_message(now, &envelope);
-            self.carry_out(to, all);
+            let actions = member.on_message(now, &envelope);
+            self.perform(to, actions);
         }
     }
 
-    /// Time goes on, in steps of ten milliseconds.
+    /// Advances the time in steps of 10 ms, runs ticks that are due and delivers messages.
     fn advance(&mut self, span: Ticks) {
         let until = self.now + span;
         while self.now < until {
             self.now += 100;
-            let all: Vec<usize> = self.members.keys().copied().collect();
-            for n in all {
+            let members: Vec<usize> = self.members.keys().copied().collect();
+            for n in members {
                 let now = self.now;
                 let Some(member) = self
                     .members
@@ -186,8 +190,8 @@
                 else {
                     continue;
                 };
-                let all = member.tick(now);
-                self.carry_out(n, all);
+                let actions = member.tick(now);
+                self.perform(n, actions);
             }
             self.deliver_all();
         }
@@ -195,47 +199,49 @@
 
     fn partition(&mut self, n: usize) {
         for other in 0..9 {
-            self.cut.extend([(n, other), (other, n)]);
+            self.cut_links.extend([(n, other), (other, n)]);
         }
     }
 
     fn begin_write(&mut self, n: usize, session: u64, claim: Option<IdempotencyClaim>) -> u64 {
-        self.tickets += 1;
-        let (now, ticket) = (self.now, self.tickets);
-        let all = self
+        self.last_ticket += 1;
+        let (now, ticket) = (self.now, self.last_ticket);
+        let actions = self
             .members
             .get_mut(&n)
             .unwrap()
             .begin_write(now, ticket, session, claim, 10_000);
-        self.carry_out(n, all);
+        self.perform(n, actions);
         self.deliver_all();
         ticket
     }
 
-    /// Whether a write may go by now, once its wait is over at the latest.
+    /// Takes the completion of a ticket, waiting for longer than the quorum timeout if it is not there yet.
     fn completion(&mut self, n: usize, ticket: u64) -> Completion {
-        if !self.done.contains_key(&(n, ticket)) {
+        if !self.completions.contains_key(&(n, ticket)) {
             self.advance(600);
         }
-        self.done.remove(&(n, ticket)).expect("within its wait")
+        self.completions
+            .remove(&(n, ticket))
+            .expect("completed within the quorum timeout")
     }
 
-    fn finish_write(&mut self, n: usize, ticket: u64, came: WriteOutcome) {
+    fn finish_write(&mut self, n: usize, ticket: u64, outcome: WriteOutcome) {
         let now = self.now;
-        let all = self
+        let actions = self
             .members
             .get_mut(&n)
             .unwrap()
-            .finish_write(now, ticket, came);
-        self.carry_out(n, all);
+            .finish_write(now, ticket, outcome);
+        self.perform(n, actions);
         self.deliver_all();
     }
 
     fn write_session(&mut self, n: usize, session: u64) -> Ticks {
         let ticket = self.begin_write(n, session, None);
-        let go = self.completion(n, ticket);
+        let completion = self.completion(n, ticket);
         assert_eq!(
-            go,
+            completion,
             Completion::QuorumAcknowledged {
                 ticket,
                 decision: IdempotencyDecision::FirstAttempt
@@ -247,332 +253,364 @@
     }
 
     fn required_position(&mut self, n: usize, session: u64) -> Option<Ticks> {
-        self.tickets += 1;
-        let (now, ticket) = (self.now, self.tickets);
-        let all = self
+        self.last_ticket += 1;
+        let (now, ticket) = (self.now, self.last_ticket);
+        let actions = self
             .members
             .get_mut(&n)
             .unwrap()
             .read_session(now, ticket, session, 10_000);
-        self.carry_out(n, all);
+        self.perform(n, actions);
         self.deliver_all();
         match self.completion(n, ticket) {
-            Completion::SessionPosition { position: at, .. } => at,
+            Completion::SessionPosition {
+                position: required, ..
+            } => required,
             other => panic!("{other:?}"),
         }
     }
 
-    fn floor(&self, n: usize) -> Ticks {
+    fn low_watermark(&self, n: usize) -> Ticks {
         self.members[&n].status(self.now).low_watermark
     }
 }
 
 #[test]
-fn read_sees_open_writes_their_positions_and_absence() {
-    let mut fleet = Fleet::new(5);
+fn session_read_sees_open_writes_and_the_positions_of_finished_ones() {
+    let mut cluster = Cluster::new(5);
     assert_eq!(
-        fleet.required_position(2, 7),
-        Some(fleet.floor(2)),
-        "nobody has written"
+        cluster.required_position(2, 7),
+        Some(cluster.low_watermark(2)),
+        "no write has begun"
     );
-    let ticket = fleet.begin_write(0, 7, None);
+    let ticket = cluster.begin_write(0, 7, None);
     assert!(matches!(
-        fleet.completion(0, ticket),
+        cluster.completion(0, ticket),
         Completion::QuorumAcknowledged { .. }
     ));
     assert_eq!(
-        fleet.required_position(2, 7),
+        cluster.required_position(2, 7),
         None,
-        "it may be answered at any moment"
+        "the open write may be acknowledged at any time"
     );
-    let at = fleet.now;
-    fleet.finish_write(0, ticket, WriteOutcome::Acknowledged(at));
-    assert_eq!(fleet.required_position(2, 7), Some(at));
-    // Two at once: the end of the one does not end the other, and the last says what both have come to.
-    let (one, other) = (fleet.begin_write(1, 7, None), fleet.begin_write(1, 7, None));
-    fleet.finish_write(1, one, WriteOutcome::Acknowledged(at + 50));
-    assert_eq!(fleet.required_position(2, 7), None);
-    fleet.finish_write(1, other, WriteOutcome::NotExecuted);
-    assert_eq!(fleet.required_position(2, 7), Some(at + 50));
-    // A gateway that is gone with a write open: the instant is owed, once, when its next life is there.
-    let open = fleet.begin_write(3, 7, None);
+    let at = cluster.now;
+    cluster.finish_write(0, ticket, WriteOutcome::Acknowledged(at));
+    assert_eq!(cluster.required_position(2, 7), Some(at));
+    // Two concurrent writes: the first to finish leaves the other open, the last reports the position of both.
+    let (first, second) = (
+        cluster.begin_write(1, 7, None),
+        cluster.begin_write(1, 7, None),
+    );
+    cluster.finish_write(1, first, WriteOutcome::Acknowledged(at + 50));
+    assert_eq!(cluster.required_position(2, 7), None);
+    cluster.finish_write(1, second, WriteOutcome::NotExecuted);
+    assert_eq!(cluster.required_position(2, 7), Some(at + 50));
+    // A gateway that restarts with a write open: one read is inexact, the next requires a position as of the restart.
+    let open = cluster.begin_write(3, 7, None);
     assert!(matches!(
-        fleet.completion(3, open),
+        cluster.completion(3, open),
         Completion::QuorumAcknowledged { .. }
     ));
-    let next = Replicator::new(
-        fleet.now,
-        me(3, 2, 4),
+    let restarted = Replicator::new(
+        cluster.now,
+        local_member(3, 2, 4),
         ReplicationConfig::default(),
         Some(RecoveredState::default()),
     );
-    fleet.members.insert(3, next);
-    let all: Vec<(usize, u64)> = (0..5).map(|n| (n, n as u64 + 1)).collect();
-    fleet.take_layout(3, &layout(1, &all));
-    fleet.advance(30_000);
-    assert_eq!(fleet.required_position(2, 7), None);
+    cluster.members.insert(3, restarted);
+    let holders: Vec<(usize, u64)> = (0..5).map(|n| (n, n as u64 + 1)).collect();
+    cluster.adopt_layout(3, &layout(1, &holders));
+    cluster.advance(30_000);
+    assert_eq!(cluster.required_position(2, 7), None);
     assert!(
-        fleet
+        cluster
             .required_position(1, 7)
-            .is_some_and(|owes| owes >= at + 50 && owes <= fleet.now + 10)
+            .is_some_and(|position| position >= at + 50 && position <= cluster.now + 10)
     );
 }
 
 #[test]
 fn partitioned_member_serves_without_quorum_only_once_its_leases_expired() {
-    let mut fleet = Fleet::new(5);
-    fleet.write_session(0, 7);
-    fleet.partition(0);
-    // The others still take it for one that promises: it turns writes away, and says for how long.
-    let ticket = fleet.begin_write(0, 7, claim(1, 1, 2, false));
+    let mut cluster = Cluster::new(5);
+    cluster.write_session(0, 7);
+    cluster.partition(0);
+    // Its leases at the others have not expired: it rejects writes, with the time after which to retry.
+    let ticket = cluster.begin_write(0, 7, claim(1, 1, 2, false));
     let Completion::Rejected {
         retry_after: wait, ..
-    } = fleet.completion(0, ticket)
+    } = cluster.completion(0, ticket)
     else {
-        panic!("turned")
+        panic!("expected Rejected")
     };
     assert!(wait > 0);
-    assert!(fleet.required_position(2, 7).is_some());
-    fleet.advance(30_000);
-    let ticket = fleet.begin_write(0, 7, claim(2, 2, 2, false));
+    assert!(cluster.required_position(2, 7).is_some());
+    cluster.advance(30_000);
+    let ticket = cluster.begin_write(0, 7, claim(2, 2, 2, false));
     assert_eq!(
-        fleet.completion(0, ticket),
+        cluster.completion(0, ticket),
         Completion::WithoutQuorum { ticket }
     );
     assert_eq!(
-        fleet.required_position(2, 7),
+        cluster.required_position(2, 7),
         None,
-        "it may have answered anything"
+        "the partitioned member may have acknowledged any write"
     );
-    let at = fleet.now;
-    fleet.finish_write(0, ticket, WriteOutcome::Acknowledged(at));
-    assert_eq!(fleet.required_position(0, 7), None);
-    // A repeat of what nobody can know of is ended, there and here; a new key goes.
-    let repeat = fleet.begin_write(2, 7, claim(2, 3, 2, true));
+    let at = cluster.now;
+    cluster.finish_write(0, ticket, WriteOutcome::Acknowledged(at));
+    assert_eq!(cluster.required_position(0, 7), None);
+    // A retry whose first attempt the member can't know of is not sent, on either side; a new key is.
+    let retry = cluster.begin_write(2, 7, claim(2, 3, 2, true));
     assert_eq!(
-        fleet.completion(2, repeat),
+        cluster.completion(2, retry),
         Completion::QuorumAcknowledged {
-            ticket: repeat,
+            ticket: retry,
             decision: IdempotencyDecision::OutcomeUnknown
         }
     );
-    fleet.finish_write(2, repeat, WriteOutcome::NotExecuted);
-    let repeat = fleet.begin_write(0, 7, claim(9, 4, 2, true));
+    cluster.finish_write(2, retry, WriteOutcome::NotExecuted);
+    let retry = cluster.begin_write(0, 7, claim(9, 4, 2, true));
     assert_eq!(
-        fleet.completion(0, repeat),
+        cluster.completion(0, retry),
         Completion::QuorumAcknowledged {
-            ticket: repeat,
+            ticket: retry,
             decision: IdempotencyDecision::OutcomeUnknown
         }
     );
-    let new = fleet.begin_write(2, 8, claim(5, 5, 2, false));
+    let new = cluster.begin_write(2, 8, claim(5, 5, 2, false));
     assert_eq!(
-        fleet.completion(2, new),
+        cluster.completion(2, new),
         Completion::QuorumAcknowledged {
             ticket: new,
             decision: IdempotencyDecision::FirstAttempt
         }
     );
-    fleet.finish_write(2, new, WriteOutcome::NotExecuted);
-    fleet.cut.clear();
-    fleet.advance(30_000);
+    cluster.finish_write(2, new, WriteOutcome::NotExecuted);
+    cluster.cut_links.clear();
+    cluster.advance(30_000);
+    assert!(
+        (1..5).all(|n| cluster.low_watermark(n) >= at),
+        "the write without a quorum is reported before its lease is renewed"
+    );
     assert!(
-        (1..5).all(|n| fleet.floor(n) >= at),
-        "handed over before it counts again"
+        cluster
+            .required_position(2, 7)
+            .is_some_and(|position| position >= at)
     );
-    assert!(fleet.required_position(2, 7).is_some_and(|owes| owes >= at));
 }
 
-/// A word that was on its way for long must not renew what has ended meanwhile.
+/// Guards against a renewal that was delayed on a slow connection and extends a lease that has expired meanwhile.
 #[test]
 fn lease_runs_from_the_echoed_time_however_late_the_renewal_arrives() {
-    let mut fleet = Fleet::new(3);
+    let mut cluster = Cluster::new(3);
     for other in [1, 2] {
-        fleet.held.insert((0, other));
+        cluster.held_links.insert((0, other));
     }
-    fleet.advance(10_000);
-    let late = std::mem::take(&mut fleet.late);
-    assert!(late.iter().any(
-        |(.., e)| matches!(e.message, Message::RenewLease { echoed_time: echo, .. } if echo > 0)
+    cluster.advance(10_000);
+    let delayed_messages = std::mem::take(&mut cluster.held_messages);
+    assert!(delayed_messages.iter().any(
+        |(.., e)| matches!(e.message, Message::RenewLease { echoed_time: echoed, .. } if echoed > 0)
     ));
-    fleet.held.clear();
-    fleet.partition(0);
-    fleet.advance(30_000);
-    let ticket = fleet.begin_write(0, 7, None);
+    cluster.held_links.clear();
+    cluster.partition(0);
+    cluster.advance(30_000);
+    let ticket = cluster.begin_write(0, 7, None);
     assert_eq!(
-        fleet.completion(0, ticket),
+        cluster.completion(0, ticket),
         Completion::WithoutQuorum { ticket }
     );
-    // Now they come, all at once, over a connection that was slow.
-    fleet.line.extend(late);
-    fleet.cut.retain(|(from, _)| *from != 0);
-    fleet.deliver_all();
-    fleet.partition(0);
+    // The delayed messages arrive all at once, after the leases have expired.
+    cluster.in_transit.extend(delayed_messages);
+    cluster.cut_links.retain(|(from, _)| *from != 0);
+    cluster.deliver_all();
+    cluster.partition(0);
     assert_eq!(
-        fleet.required_position(1, 7),
+        cluster.required_position(1, 7),
         None,
-        "it still may have answered anything"
+        "the partitioned member may still have acknowledged any write"
     );
 }
 
 #[test]
 fn retry_through_any_member_goes_to_its_replica_set_within_its_window() {
-    let mut fleet = Fleet::new(5);
-    let first = fleet.begin_write(0, 7, claim(1, 1, 2, false));
-    let began = fleet.now;
+    let mut cluster = Cluster::new(5);
+    let first = cluster.begin_write(0, 7, claim(1, 1, 2, false));
+    let first_sent = cluster.now;
     assert!(matches!(
-        fleet.completion(0, first),
+        cluster.completion(0, first),
         Completion::QuorumAcknowledged {
             decision: IdempotencyDecision::FirstAttempt,
             ..
         }
     ));
-    // Its gateway is gone with all it knew.
-    fleet.members.remove(&0);
-    let asks = |fleet: &mut Fleet, n, number, set| {
-        let ticket = fleet.begin_write(n, 7, claim(1, number, set, true));
+    // The gateway of the first attempt is lost with its state.
+    cluster.members.remove(&0);
+    let retry = |cluster: &mut Cluster, n, attempt, set| {
+        let ticket = cluster.begin_write(n, 7, claim(1, attempt, set, true));
         let Completion::QuorumAcknowledged {
-            decision: verdict, ..
-        } = fleet.completion(n, ticket)
+            decision: retry_decision,
+            ..
+        } = cluster.completion(n, ticket)
         else {
-            panic!("promised")
+            panic!("expected QuorumAcknowledged")
         };
-        fleet.finish_write(n, ticket, WriteOutcome::NotExecuted);
-        verdict
+        cluster.finish_write(n, ticket, WriteOutcome::NotExecuted);
+        retry_decision
     };
-    assert_eq!(asks(&mut fleet, 1, 2, 2), IdempotencyDecision::Retry(began));
     assert_eq!(
-        asks(&mut fleet, 2, 3, 3),
+        retry(&mut cluster, 1, 2, 2),
+        IdempotencyDecision::Retry(first_sent)
+    );
+    assert_eq!(
+        retry(&mut cluster, 2, 3, 3),
         IdempotencyDecision::OutcomeUnknown
     );
-    fleet.advance(30_000);
+    cluster.advance(30_000);
     assert_eq!(
-        asks(&mut fleet, 3, 4, 2),
+        retry(&mut cluster, 3, 4, 2),
         IdempotencyDecision::OutcomeUnknown,
-        "its window is over"
+        "the deduplication window has ended"
     );
-    // One that surely never ran binds nobody.
-    let never = fleet.begin_write(1, 8, claim(6, 9, 2, false));
+    // An attempt that was not executed does not restrict later ones.
+    let not_executed = cluster.begin_write(1, 8, claim(6, 9, 2, false));
     assert!(matches!(
-        fleet.completion(1, never),
+        cluster.completion(1, not_executed),
         Completion::QuorumAcknowledged { .. }
     ));
-    fleet.finish_write(1, never, WriteOutcome::NotExecuted);
-    let again = fleet.begin_write(2, 8, claim(6, 10, 3, false));
+    cluster.finish_write(1, not_executed, WriteOutcome::NotExecuted);
+    let next = cluster.begin_write(2, 8, claim(6, 10, 3, false));
     assert_eq!(
-        fleet.completion(2, again),
+        cluster.completion(2, next),
         Completion::QuorumAcknowledged {
-            ticket: again,
+            ticket: next,
             decision: IdempotencyDecision::FirstAttempt
         }
     );
 }
 
 #[test]
-fn replaced_replica_is_repaired_and_a_failed_disk_rejects_writes() {
-    let mut fleet = Fleet::new(5);
-    let mut truth = BTreeMap::new();
+fn replaced_replica_is_repaired_and_a_failed_disk_leaves_quorums() {
+    let mut cluster = Cluster::new(5);
+    let mut acknowledged = BTreeMap::new();
     for session in 0..2_000 {
-        truth.insert(session, fleet.write_session(session as usize % 5, session));
+        acknowledged.insert(
+            session,
+            cluster.write_session(session as usize % 5, session),
+        );
     }
-    let held = fleet.members[&4].status(fleet.now).session_records;
-    assert!((800..1_600).contains(&held), "three fifths of them: {held}");
-    // Its machine burns; the layout votes its memory out, and the new one in.
-    fleet.members.insert(
+    let session_records = cluster.members[&4].status(cluster.now).session_records;
+    assert!(
+        (800..1_600).contains(&session_records),
+        "about three fifths of the sessions: {session_records}"
+    );
+    // The machine is lost with its disk: one layout removes the old storage, the next adds the new one.
+    cluster.members.insert(
         4,
-        Replicator::new(fleet.now, me(4, 2, 99), ReplicationConfig::default(), None),
+        Replicator::new(
+            cluster.now,
+            local_member(4, 2, 99),
+            ReplicationConfig::default(),
+            None,
+        ),
     );
-    let four: Vec<(usize, u64)> = (0..4).map(|n| (n, n as u64 + 1)).collect();
-    let five: Vec<(usize, u64)> = four.iter().copied().chain([(4, 99)]).collect();
-    fleet.agree_on(&layout(2, &four));
-    fleet.agree_on(&layout(3, &five));
+    let four_holders: Vec<(usize, u64)> = (0..4).map(|n| (n, n as u64 + 1)).collect();
+    let five_holders: Vec<(usize, u64)> = four_holders.iter().copied().chain([(4, 99)]).collect();
+    cluster.adopt_layout_everywhere(&layout(2, &four_holders));
+    cluster.adopt_layout_everywhere(&layout(3, &five_holders));
     for session in (0..2_000).step_by(97) {
-        let owes = fleet.required_position(session as usize % 4, session);
+        let position = cluster.required_position(session as usize % 4, session);
         assert!(
-            owes.is_none_or(|owes| owes >= truth[&session]),
+            position.is_none_or(|position| position >= acknowledged[&session]),
             "session {session}"
         );
     }
-    fleet.advance(100_000);
-    let shown = fleet.members[&4].status(fleet.now);
+    cluster.advance(100_000);
+    let status = cluster.members[&4].status(cluster.now);
     assert_eq!(
         (
-            shown.layout_version,
-            shown.oldest_layout_version,
-            shown.in_sync,
-            shown.session_records
+            status.layout_version,
+            status.oldest_layout_version,
+            status.in_sync,
+            status.session_records
         ),
-        (3, 3, true, held)
+        (3, 3, true, session_records)
     );
     for session in (0..2_000).step_by(97) {
         assert_eq!(
-            fleet.required_position(4, session),
-            Some(truth[&session].max(fleet.floor(4)))
+            cluster.required_position(4, session),
+            Some(acknowledged[&session].max(cluster.low_watermark(4)))
         );
     }
-    // What differs between two holders is found by comparing, and brought.
-    let all: Vec<Record> = fleet.kept[&4].1.values().take(3).cloned().collect();
+    // A comparison with all other replicas finds no differences after the repair.
+    let records: Vec<Record> = cluster.persisted[&4].1.values().take(3).cloned().collect();
     assert!(
-        all.iter()
+        records
+            .iter()
             .all(|record| matches!(record.value, RecordValue::Session(_)))
     );
-    fleet.members.get_mut(&0).unwrap().start_comparison();
-    fleet.advance(100_000);
-    let (compared, left) = fleet.members[&0].comparisons();
-    assert_eq!((compared.len(), left), (4, 0));
+    cluster.members.get_mut(&0).unwrap().start_comparison();
+    cluster.advance(100_000);
+    let (comparisons, remaining) = cluster.members[&0].comparisons();
+    assert_eq!((comparisons.len(), remaining), (4, 0));
     assert!(
-        compared.iter().all(|(_, _, differ, _)| *differ == 0),
-        "{compared:?}"
+        comparisons
+            .iter()
+            .all(|(_, _, differing_buckets, _)| *differing_buckets == 0),
+        "{comparisons:?}"
     );
-    // A disk that keeps nothing any more: others promise without it.
-    fleet.broken.insert(1);
+    // One disk has failed: the other replicas make the quorums.
+    cluster.failed_disks.insert(1);
     for session in 3_000..3_040 {
-        let at = fleet.write_session(0, session);
+        let at = cluster.write_session(0, session);
         assert!(
-            fleet
+            cluster
                 .required_position(2, session)
-                .is_some_and(|owes| owes >= at)
+                .is_some_and(|position| position >= at)
         );
     }
 }
 
-/// A program that knows nothing of copies takes part as a member: it is asked in vain and never accounted for.
+/// A member that runs a version without replication answers no message: its lease never becomes valid at the others.
 #[test]
 fn member_without_replication_is_never_accounted_for() {
-    let mut fleet = Fleet::new(3);
-    let at = fleet.write_session(0, 7);
-    fleet.members.remove(&2);
-    let all: Vec<(usize, u64)> = vec![(0, 1), (1, 2), (2, 3), (3, 4)];
-    fleet.members.insert(
+    let mut cluster = Cluster::new(3);
+    let at = cluster.write_session(0, 7);
+    cluster.members.remove(&2);
+    let holders: Vec<(usize, u64)> = vec![(0, 1), (1, 2), (2, 3), (3, 4)];
+    cluster.members.insert(
         3,
-        Replicator::new(fleet.now, me(3, 1, 4), ReplicationConfig::default(), None),
+        Replicator::new(
+            cluster.now,
+            local_member(3, 1, 4),
+            ReplicationConfig::default(),
+            None,
+        ),
     );
-    fleet.agree_on(&layout(2, &all));
-    fleet.advance(60_000);
-    // The others promise to each other, and read at the instant, as the older one may answer anything.
-    let ticket = fleet.begin_write(3, 7, None);
+    cluster.adopt_layout_everywhere(&layout(2, &holders));
+    cluster.advance(60_000);
+    // The others acknowledge writes without it; their reads are inexact, as it may acknowledge any write.
+    let ticket = cluster.begin_write(3, 7, None);
     assert!(matches!(
-        fleet.completion(3, ticket),
+        cluster.completion(3, ticket),
         Completion::QuorumAcknowledged { .. } | Completion::WithoutQuorum { .. }
     ));
-    fleet.finish_write(3, ticket, WriteOutcome::Acknowledged(at + 10));
-    assert_eq!(fleet.required_position(1, 7), None);
+    cluster.finish_write(3, ticket, WriteOutcome::Acknowledged(at + 10));
+    assert_eq!(cluster.required_position(1, 7), None);
 }
 
 #[test]
-fn invalid_messages_and_ended_incarnations_are_dropped() {
-    let mut fleet = Fleet::new(3);
-    let before = fleet.members[&0].counters();
-    let envelope = |name: &str, life, body| Envelope {
+fn invalid_messages_and_messages_of_ended_incarnations_are_dropped() {
+    let mut cluster = Cluster::new(3);
+    let counters_before = cluster.members[&0].counters();
+    let envelope = |name: &str, number, body| Envelope {
         sender: name.into(),
-        incarnation: life,
+        incarnation: number,
         memory: 2,
         layout_version: 1,
         request_id: 1,
         message: body,
     };
-    let now = fleet.now;
-    let bad = [
+    let now = cluster.now;
+    let invalid_envelopes = [
         envelope("", 1, Message::QueryLayouts),
         envelope("n0", 1, Message::QueryLayouts),
         envelope(
@@ -600,29 +638,29 @@
             },
         ),
     ];
-    for said in &bad {
+    for invalid in &invalid_envelopes {
         assert!(
-            fleet
+            cluster
                 .members
                 .get_mut(&0)
                 .unwrap()
-                .on_message(now, said)
+                .on_message(now, invalid)
                 .is_empty(),
-            "{said:?}"
+            "{invalid:?}"
         );
     }
     assert_eq!(
-        fleet.members[&0].counters().invalid_messages,
-        before.invalid_messages + bad.len() as u64
+        cluster.members[&0].counters().invalid_messages,
+        counters_before.invalid_messages + invalid_envelopes.len() as u64
     );
-    // A later life speaks, then an earlier one of the same name.
-    fleet
+    // A message of a newer incarnation, then one of an ended incarnation of the same member.
+    cluster
         .members
         .get_mut(&0)
         .unwrap()
         .on_message(now, &envelope("n1", 9, Message::QueryLayouts));
     assert!(
-        fleet
+        cluster
             .members
             .get_mut(&0)
             .unwrap()
--- a/crates/replication/tests/write_quorum.rs
+++ b/crates/replication/tests/write_quorum.rs
@@ -1,4 +1,4 @@
-//! Quorum writes and the reads that meet them.
+//! Tests of quorum writes and of the quorum reads that have to see them.
 
 use leverpoint_replication::write_quorum::{ReplicaSet, WriteQuorumInput, next_state};
 use leverpoint_replication::{
@@ -13,7 +13,7 @@
     }
 }
 
-fn named(n: usize) -> ReplicaSet {
+fn replica_set(n: usize) -> ReplicaSet {
     (0..n)
         .map(|n| replica(&format!("n{n}"), n as u64 + 1))
         .collect()
@@ -45,123 +45,138 @@
     insta::assert_snapshot!(out);
 }
 
-/// Every way of telling holders, losing some and reading at the rest, for 3 and 5 copies.
+/// Guards against a read that misses an acknowledged write, or takes a lost replica for an empty one.
+///
+/// For 3 and 5 replicas: every set of replicas that acknowledge the write, every set that then loses its storage, and
+/// every set that replies to the read.
 #[test]
-fn read_quorum_meets_every_acknowledged_write_and_never_guesses_lost_ones() {
-    let wrote = SessionWrites {
+fn read_quorum_sees_every_acknowledged_write_and_counts_no_lost_replica() {
+    let writes = SessionWrites {
         position: 77,
         ..SessionWrites::default()
     };
     let record = Record {
         key: RecordKey::Session(1),
-        value: RecordValue::Session(wrote),
+        value: RecordValue::Session(writes),
     };
-    let (mut exact, mut owed) = (0, 0);
-    for many in [3usize, 5] {
-        let all = named(many);
-        for have in 0..1u32 << many {
-            let mut promise = WriteQuorum::new(all.clone(), 100, 200);
-            let mut promised = false;
-            for (_, who) in all.iter().enumerate().filter(|(n, _)| have >> n & 1 == 1) {
-                promised |= promise.on_acknowledged(who) == WriteQuorumEffect::Acknowledge;
+    let (mut exact, mut unreachable) = (0, 0);
+    for replica_count in [3usize, 5] {
+        let replicas = replica_set(replica_count);
+        for acknowledging in 0..1u32 << replica_count {
+            let mut write = WriteQuorum::new(replicas.clone(), 100, 200);
+            let mut is_acknowledged = false;
+            for (_, id) in replicas
+                .iter()
+                .enumerate()
+                .filter(|(n, _)| acknowledging >> n & 1 == 1)
+            {
+                is_acknowledged |= write.on_acknowledged(id) == WriteQuorumEffect::Acknowledge;
             }
             assert_eq!(
-                promised,
-                have.count_ones() as usize >= ReplicationFactor::quorum(many)
+                is_acknowledged,
+                acknowledging.count_ones() as usize >= ReplicationFactor::quorum(replica_count)
             );
-            for lost in 0..1u32 << many {
-                // Those that lost their memory are back, empty and learning; the others answer or are not reached.
-                for reached in 0..1u32 << many {
-                    let mut reading = ReadQuorum::new(vec![all.clone()]);
-                    let mut worth = ReadStatus::Pending;
-                    for (n, who) in all.iter().enumerate() {
-                        let held = (have >> n & 1 == 1).then(|| record.clone());
-                        let says = |record| {
+            for lost in 0..1u32 << replica_count {
+                // A replica that has lost its storage replies with a new one, without the record.
+                for replying in 0..1u32 << replica_count {
+                    let mut read = ReadQuorum::new(vec![replicas.clone()]);
+                    let mut status = ReadStatus::Pending;
+                    for (n, id) in replicas.iter().enumerate() {
+                        let stored = (acknowledging >> n & 1 == 1).then(|| record.clone());
+                        let reply = |record| {
                             Some(ReplicaReply {
                                 record,
                                 low_watermark: 0,
                                 partitioned: false,
                             })
                         };
-                        worth = match (reached >> n & 1 == 1, lost >> n & 1 == 1) {
-                            (false, _) => reading.on_reply(who, None),
+                        status = match (replying >> n & 1 == 1, lost >> n & 1 == 1) {
+                            (false, _) => read.on_reply(id, None),
                             (true, true) => {
-                                reading.on_reply(&replica(&who.name, who.memory + 100), says(None))
+                                read.on_reply(&replica(&id.name, id.memory + 100), reply(None))
                             }
-                            (true, false) => reading.on_reply(who, says(held)),
+                            (true, false) => read.on_reply(id, reply(stored)),
                         };
                     }
-                    match worth {
+                    match status {
                         ReadStatus::Exact(found, _) => {
                             exact += 1;
                             assert!(
-                                !promised || found.as_ref() == Some(&record),
-                                "{have:b} {lost:b} {reached:b}"
+                                !is_acknowledged || found.as_ref() == Some(&record),
+                                "{acknowledging:b} {lost:b} {replying:b}"
                             );
                         }
-                        ReadStatus::QuorumUnreachable(_) => owed += 1,
-                        ReadStatus::Pending => panic!("all have been heard"),
+                        ReadStatus::QuorumUnreachable(_) => unreachable += 1,
+                        ReadStatus::Pending => panic!("all replicas have replied"),
                     }
                 }
             }
         }
     }
-    assert!(exact > 1_000 && owed > 1_000, "{exact} {owed}");
+    assert!(
+        exact > 1_000 && unreachable > 1_000,
+        "{exact} {unreachable}"
+    );
 }
 
 #[test]
 fn write_is_abandoned_at_its_deadline_and_needs_a_quorum_of_both_layouts() {
-    assert_eq!(WriteQuorum::new(named(7), 100, 200).recipients().count(), 5);
+    assert_eq!(
+        WriteQuorum::new(replica_set(7), 100, 200)
+            .recipients()
+            .count(),
+        5
+    );
     let (old, new) = (
-        named(3),
+        replica_set(3),
         vec![replica("n0", 1), replica("n8", 80), replica("n9", 90)],
     );
-    let mut promise = WriteQuorum::new(old.clone(), 100, 200);
-    assert_eq!(promise.recipients().count(), 3);
+    let mut write = WriteQuorum::new(old.clone(), 100, 200);
+    assert_eq!(write.recipients().count(), 3);
     assert_eq!(
-        (promise.tick(99), promise.tick(100)),
+        (write.tick(99), write.tick(100)),
         (WriteQuorumEffect::Nothing, WriteQuorumEffect::SendToAll)
     );
-    assert_eq!(promise.recipients().count(), 3);
+    assert_eq!(write.recipients().count(), 3);
     assert_eq!(
-        promise.on_layout_added(new.clone()),
+        write.on_layout_added(new.clone()),
         WriteQuorumEffect::SendToAll
     );
-    assert_eq!(promise.recipients().count(), 5);
-    // Enough of the old, not of the new; then of both. One with another memory than its layout's is nobody.
+    assert_eq!(write.recipients().count(), 5);
+    // A quorum of the old layout, not of the new; then of both. A replica with another storage ID does not count.
     assert_eq!(
         (
-            promise.on_acknowledged(&old[0]),
-            promise.on_acknowledged(&old[1])
+            write.on_acknowledged(&old[0]),
+            write.on_acknowledged(&old[1])
         ),
         (WriteQuorumEffect::Nothing, WriteQuorumEffect::Nothing)
     );
     assert_eq!(
-        promise.on_acknowledged(&replica("n8", 81)),
+        write.on_acknowledged(&replica("n8", 81)),
         WriteQuorumEffect::Nothing
     );
     assert_eq!(
-        promise.on_acknowledged(&new[1]),
+        write.on_acknowledged(&new[1]),
         WriteQuorumEffect::Acknowledge
     );
     assert_eq!(
-        (promise.next_deadline(), promise.tick(500)),
+        (write.next_deadline(), write.tick(500)),
         (None, WriteQuorumEffect::Nothing)
     );
-    // Too few are left: without the promise, at once. And at its time.
-    let mut promise = WriteQuorum::new(old.clone(), 100, 200);
-    assert_eq!(promise.on_rejected(&old[0]), WriteQuorumEffect::SendToAll);
+    // Abandoned as soon as too few replicas are left for a quorum; otherwise at the deadline.
+    let mut write = WriteQuorum::new(old.clone(), 100, 200);
+    assert_eq!(write.on_rejected(&old[0]), WriteQuorumEffect::SendToAll);
     assert_eq!(
-        promise.on_rejected(&old[1]),
+        write.on_rejected(&old[1]),
         WriteQuorumEffect::ProceedWithoutQuorum
     );
     assert_eq!(
-        (promise.state(), promise.on_acknowledged(&old[2])),
+        (write.state(), write.on_acknowledged(&old[2])),
         (WriteQuorumState::Abandoned, WriteQuorumEffect::Nothing)
     );
-    let mut promise = WriteQuorum::new(old, 100, 200);
+    let mut write = WriteQuorum::new(old, 100, 200);
     assert_eq!(
-        (promise.next_deadline(), promise.tick(200)),
+        (write.next_deadline(), write.tick(200)),
         (Some(100), WriteQuorumEffect::ProceedWithoutQuorum)
     );
 }
