--- a/crates/replication/src/idempotency.rs
+++ b/crates/replication/src/idempotency.rs
@@ -39,7 +39,7 @@
 /// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum IdempotencyDecision {
-    /// It may be sent: no other attempt may have been executed.
+    /// It may be sent: no other attempt is known that can have been executed.
     FirstAttempt,
     /// It may be sent to its replica set as a retry of a request that was first sent at this time.
     Retry(Ticks),
--- a/crates/replication/src/layout_history.rs
+++ b/crates/replication/src/layout_history.rs
@@ -235,8 +235,8 @@
             .is_some_and(|(newest, older)| has_replica(newest) && !older.iter().all(has_replica))
     }
 
-    /// How many replicas of any record may be missing so that every quorum of them still includes another: one less
-    /// than a quorum.
+    /// How many replicas of a record may be missing while every quorum still includes one that is not: one less than a
+    /// quorum.
     fn tolerated_losses(&self, placed: &PlacedLayout) -> usize {
         let holders = placed.layout.holders.iter();
         let machines: BTreeSet<&String> = holders.map(|holder| &holder.machine).collect();
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -2,13 +2,13 @@
 //!
 //! Each member renews its lease at every other member of the newest layout. While the lease of a member is valid it
 //! replicates whatever it answers, or answers nothing: it is accounted for. Once it has expired the member may be
-//! serving without a quorum. A member is in touch while its last answer to a renewal of this member is younger than a
-//! lease and was given under the same layout.
+//! serving without a quorum. A member is in touch while it has answered, under the newest layout, a renewal that this
+//! member sent less than a lease ago.
 //!
 //! # Invariants
 //!
-//! A lease runs from a time of the granting member's clock that the renewal echoes, so that a delayed renewal does not
-//! extend it.
+//! A renewal echoes the last time that the receiving member has sent, and the lease runs from that time of the
+//! receiver's clock. A delayed renewal therefore does not extend an expired lease.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     sent_at: Ticks,
 }
 
-/// The last renewal of this member that a peer has answered.
+/// A renewal of this member, with the layout version under which a peer has answered it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AnsweredRenewal {
     layout_version: u64,
@@ -50,12 +50,14 @@
     storage_id: u64,
     /// When the peer's lease expires, by this member's clock.
     lease_expires_at: Ticks,
+    /// The last renewal of this member that the peer has answered.
     answered: Option<AnsweredRenewal>,
     peer_time: PeerTime,
     /// Upper bound, by this member's clock, of when the peer considers this member's lease expired.
     own_lease_expires_at: Ticks,
     /// The newest layout version under which the peer has all of its records.
     synced_version: u64,
+    /// The last renewal of this member, until the peer answers it.
     outstanding: Option<Renewal>,
 }
 
@@ -218,7 +220,7 @@
         })
     }
 
-    /// Whether a member that has adopted this layout has yet to answer a renewal under it, and none was sent just now.
+    /// Whether a member that has adopted this layout has yet to answer a renewal under it and none was sent recently.
     pub(crate) fn needs_renewal(&self, now: Ticks, name: &str, version: u64) -> bool {
         self.peers.get(name).is_some_and(|peer| {
             let recently_sent = peer.outstanding.is_some_and(|renewal| {
--- a/crates/replication/src/read_coordinator.rs
+++ b/crates/replication/src/read_coordinator.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Records the time of a tick, which queries the remaining replicas of all reads that are slow by then.
+    /// Records the time of a tick. Reads that are slow by then have been sent to all replicas by that tick.
     pub(crate) fn set_last_tick(&mut self, now: Ticks) {
         self.last_tick = now;
     }
--- a/crates/replication/src/write_coordinator/degraded.rs
+++ b/crates/replication/src/write_coordinator/degraded.rs
@@ -67,7 +67,7 @@
         });
         let state = &mut *ctx.state;
         if ctx.now - rejected_since >= state.leases.length() / PERSISTENT_FAULT_LEASE_DIVISOR {
-            // The fault persists: this member stops renewing its leases, so that all have expired one lease later.
+            // The fault persists: this member stops renewing its leases, so that all of them expire within a lease.
             state.degraded.leases_paused_until =
                 ctx.now + 2 * state.leases.length_with_drift_margin();
         }
