--- a/crates/replication/src/anti_entropy.rs
+++ b/crates/replication/src/anti_entropy.rs
@@ -137,7 +137,7 @@
         }
         self.out_of_sync_since.get_or_insert(now);
         let local = state.local_replica();
-        let expired_after = state.leases.expired_for_all_after();
+        let expired_after = state.leases.length_with_drift_margin();
         match state
             .layout_history
             .sync_status(now, &local.name, local.storage_id, expired_after)
@@ -167,7 +167,7 @@
             return Some(RepairJob::new(state, peer, stage));
         }
         let name = self.next_comparison_peer(state, now)?;
-        let storage_id = state.leases.memory(&name);
+        let storage_id = state.leases.storage_id(&name);
         let peer = ReplicaId { name, storage_id };
         Some(RepairJob::new(state, peer, RepairStage::Branches))
     }
@@ -269,6 +269,6 @@
     let pending = state.layout_history.pending_transfers(&state.local.name);
     pending.into_iter().find(|peer| {
         state.leases.in_touch(now, &peer.name, version)
-            && state.leases.memory(&peer.name) == peer.storage_id
+            && state.leases.storage_id(&peer.name) == peer.storage_id
     })
 }
