--- a/crates/replication/tests/replicator.rs
+++ b/crates/replication/tests/replicator.rs
@@ -35,9 +35,9 @@
 }
 
 fn layout(version: u64, holders: &[(usize, u64)]) -> Layout {
-    let holder = |(n, storage): &(usize, u64)| ReplicaHolder {
+    let holder = |(n, storage_id): &(usize, u64)| ReplicaHolder {
         name: format!("n{n}"),
-        storage_id: *storage,
+        storage_id: *storage_id,
         machine: format!("m{n}"),
         zone: String::new(),
     };
