--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request on one server, from the router's decision to its outcome.
+//! An attempt of a request on one server, and the interface of the component that executes it.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
 
 /// Executes attempts on servers.
 ///
-/// An implementation must not call the engine back before its methods return.
+/// Implementations must not call the engine before their method returns.
 pub trait AttemptExecutor {
-    /// Starts an attempt; the attempt reports its own outcome.
+    /// Starts an attempt without waiting for it. Its outcome is reported through [`Attempt::finish`], or when it is dropped.
     fn execute(self: Rc<Self>, attempt: Attempt);
-    /// Closes the idle connections to a server that drains, is gone, has moved or has restarted.
+    /// Closes the idle connections to a server that is draining or gone, or has moved or restarted.
     fn close_idle_connections(&self, server: usize);
 }
 
-/// What a server has reported of itself behind a row.
+/// Role and position that a server has reported of itself after a row.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportedParameters {
-    /// Whether it is the primary of its replica set.
+    /// Whether it is the primary of its replica set; none if it reported no valid role.
     pub primary: Option<bool>,
-    /// Its replication position, in Unix milliseconds.
+    /// Its replication position, in Unix milliseconds; none if it reported no finite number.
     pub position: Option<f64>,
 }
 
 impl ReportedParameters {
-    /// Records one parameter by its name on the wire; others than role and position are ignored.
+    /// Records a parameter, given as name and value on the wire. All but `mode` and `wal_time` are ignored.
     pub fn record(&mut self, parameter: Option<(&str, &str)>) {
         match parameter {
             Some(("mode", "read-write")) => self.primary = Some(true),
@@ -48,30 +48,31 @@
     }
 }
 
-/// What an attempt is for.
+/// Whether an attempt belongs to a request or probes a server.
 #[derive(Clone, Copy)]
 pub(crate) enum AttemptKind {
-    /// The `number`th attempt of a request.
+    /// An attempt of a request; `number` counts the request's attempts from 0.
     Request { request: usize, number: u32 },
-    /// A probe of the server, without a statement.
+    /// A probe of a server, which sends no statement.
     Probe,
 }
 
-/// The request that an attempt belongs to, as far as the attempt needs it.
+/// The parts of a request that an attempt needs.
 pub(crate) struct AttemptRequest {
     pub(crate) statement: Rc<Statement>,
     pub(crate) client: Rc<ClientConnection>,
     pub(crate) session: Option<RequestSession>,
-    pub(crate) over: Rc<Latch>,
-    /// After this the attempt must not start.
+    /// Set when the request is finished.
+    pub(crate) finished: Rc<Latch>,
+    /// Latest time at which the attempt may start.
     pub(crate) start_by: Ticks,
 }
 
-/// The server of an attempt, as it was when the attempt was decided.
+/// The server of an attempt, as listed when the router chose it.
 pub(crate) struct AttemptServer {
     pub(crate) index: usize,
     pub(crate) address: SocketAddr,
-    /// How often the server had been replaced by then.
+    /// How often the server had been replaced by then, see `Endpoints::replacements`.
     pub(crate) replacements: u64,
 }
 
@@ -79,7 +80,7 @@
 ///
 /// # Invariants
 ///
-/// It finishes exactly once, at the latest when it is dropped.
+/// Its outcome is reported exactly once, at the latest when it is dropped.
 pub struct Attempt {
     engine: Rc<Engine>,
     kind: AttemptKind,
@@ -91,26 +92,27 @@
     pub address: SocketAddr,
     /// The statement; none for a probe.
     pub statement: Option<Rc<Statement>>,
-    /// The client whose buffers the answer is reserved from; none for a probe.
+    /// The client on whose behalf buffers for the answer are reserved; none for a probe.
     pub client: Option<Rc<ClientConnection>>,
-    /// How long the attempt may take.
+    /// Longest duration of the attempt.
     pub timeout: Ticks,
-    /// When the attempt times out.
+    /// When the attempt times out: `timeout` after it was created.
     pub deadline: Instant,
-    /// After this the attempt must not start.
+    /// Latest time at which the attempt may start.
     start_by: Instant,
-    /// How often the server had been replaced when this was decided.
+    /// How often the server had been replaced when the router chose it.
     server_replacements: u64,
-    request_over: Rc<Latch>,
+    /// Set when the request is finished; never set for a probe.
+    request_finished: Rc<Latch>,
     /// Notified when the router cancels the attempt.
     pub cancelled: Rc<Notify>,
-    /// How far the attempt has come.
+    /// Progress of the attempt, which decides whether a failed statement may have been executed.
     pub progress: Cell<Progress>,
-    /// When the row was complete.
+    /// When the row was delivered to the client.
     delivered_at: Cell<Option<Ticks>>,
-    /// The session whose read or write it is, where sessions are tracked.
+    /// Session of the request; none if sessions are not tracked for it.
     session: Option<RequestSession>,
-    /// A complete row that waits for the server's report.
+    /// A complete row that is held back until the server has reported its role and position.
     held_row: RefCell<Option<Row>>,
 }
 
@@ -140,7 +142,7 @@
             deadline,
             start_by,
             server_replacements: server.replacements,
-            request_over: request.map(|r| r.over.clone()).unwrap_or_default(),
+            request_finished: request.map(|r| r.finished.clone()).unwrap_or_default(),
             cancelled,
             progress: Cell::new(Progress::NotConnected),
             delivered_at: Cell::new(None),
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The sessions' reads and this attempt's session, where sessions are tracked.
+    /// Returns session tracking and this attempt's session; none if sessions are not tracked for it.
     fn tracked_session(&self) -> Option<(&SessionConsistency, &RequestSession)> {
         self.engine
             .session_consistency
@@ -158,12 +160,12 @@
             .zip(self.session.as_ref())
     }
 
-    /// Takes a complete row. It goes to the client at once, unless the server's report decides whether the row covers
-    /// what its session must see, or which session token goes with it.
+    /// Handles a complete row: delivers it at once, or holds it back until the server's report where that decides
+    /// whether the row is recent enough for its session, or which session token accompanies it.
     pub fn on_row_complete(&self, row: Row) {
-        if let Some((reads, session)) = self.tracked_session() {
-            reads.on_row_complete(session, self.engine.clock.now());
-            if reads.needs_report(session) {
+        if let Some((sessions, session)) = self.tracked_session() {
+            sessions.on_row_complete(session, self.engine.clock.now());
+            if sessions.needs_report(session) {
                 self.held_row.replace(Some(row));
                 return;
             }
@@ -171,28 +173,29 @@
         self.deliver(row);
     }
 
-    /// Takes the server's complete report behind a row, and returns the outcome of the attempt.
+    /// Handles the server's complete report after a row: delivers a row that was held back if it is recent enough for its
+    /// session, and returns the outcome of the attempt.
     #[must_use]
     pub fn on_report_complete(&self, reported: ReportedParameters) -> AttemptOutcome {
         let Some(mut row) = self.held_row.take() else {
             return AttemptOutcome::Answered;
         };
-        if let Some((reads, session)) = self.tracked_session() {
+        if let Some((sessions, session)) = self.tracked_session() {
             let report = self.engine.server_report(Some(reported), session.write);
-            if !reads.is_covered(session, self.engine.clock.now(), report) {
+            if !sessions.is_covered(session, self.engine.clock.now(), report) {
                 return AttemptOutcome::NotCaughtUp;
             }
             if session.write {
                 self.engine.on_write_answered(self.kind, report);
             }
-            row.session_token = reads.sign_token(session, report);
+            row.session_token = sessions.sign_token(session, report);
         }
         self.deliver(row);
         AttemptOutcome::Answered
     }
 
-    /// Handles that no report comes any more: a write's row is its answer all the same, a read whose position is not
-    /// known has none.
+    /// Handles a report that will never come: a write's row is delivered nevertheless, while that of a read is dropped, as
+    /// its position is unknown.
     pub fn on_report_missing(&self) {
         if self.session.is_some_and(|session| session.write)
             && let Some(row) = self.held_row.take()
@@ -207,21 +210,26 @@
             return;
         };
         self.engine.deliver(request, FinalAnswer::Answered(row));
-        if self.statement.as_ref().is_some_and(|text| text.write) {
-            // Before the client can send its next request.
-            self.engine.take(EngineEvent::WriteAnswered(request));
+        if self
+            .statement
+            .as_ref()
+            .is_some_and(|statement| statement.write)
+        {
+            // The router learns of the answer before the client's next request can arrive.
+            self.engine.dispatch(EngineEvent::WriteAnswered(request));
         }
     }
 
-    /// Whether the row is with the client.
+    /// Whether the row was delivered to the client.
     pub fn is_delivered(&self) -> bool {
         self.delivered_at.get().is_some()
     }
 
-    /// Whether the decision still holds as the first byte is about to go out: the request is open and its client
-    /// connected, the server is listed as it was, the endpoint list is valid, and it is not too late to start.
+    /// Whether the attempt may still start, to be checked right before its first byte is sent: its request is open and the
+    /// client connected, the server's listing is unchanged, the endpoint list's lease is valid, and `start_by` has not
+    /// passed.
     pub fn may_start(&self) -> bool {
-        !self.request_over.is_set()
+        !self.request_finished.is_set()
             && now() <= self.start_by
             && !self
                 .client
@@ -231,17 +239,17 @@
             && !self.engine.is_endpoint_list_expired()
     }
 
-    /// Whether the server has not drained, moved, restarted or gone since the attempt was decided.
+    /// Whether the server has not drained, moved, restarted or gone since the router chose it.
     pub fn is_server_unchanged(&self) -> bool {
         self.engine.endpoints.replacements(self.server) == Some(self.server_replacements)
     }
 
-    /// Waits until the request needs no attempt any more.
+    /// Waits until the request is finished, so that it needs no attempt any more.
     pub async fn request_finished(&self) {
-        self.request_over.wait().await;
+        self.request_finished.wait().await;
     }
 
-    /// Makes an error of a cause and the attempt's progress.
+    /// Creates an error from a cause and the attempt's present progress.
     pub fn error(&self, cause: Cause) -> AttemptError {
         AttemptError {
             progress: self.progress.get(),
@@ -249,7 +257,7 @@
         }
     }
 
-    /// Finishes the attempt with its outcome and what the server has reported.
+    /// Reports the attempt's outcome, along with what the server has reported of itself.
     pub fn finish(mut self, outcome: AttemptOutcome, reported: Option<ReportedParameters>) {
         self.report(outcome, reported);
     }
@@ -259,7 +267,7 @@
             return;
         }
         let engine = &self.engine;
-        // What a server reports behind the row is no part of the answer's time.
+        // The time that the server's report takes after the row does not count as response time.
         let ended_at = self.delivered_at.get();
         let elapsed = ended_at.unwrap_or_else(|| engine.clock.now()) - self.started_at;
         engine.metrics.on_attempt_finished(outcome);
@@ -280,7 +288,7 @@
                 reported,
             },
         };
-        engine.take(event);
+        engine.dispatch(event);
     }
 }
 
--- a/crates/engine/src/attempt_error.rs
+++ b/crates/engine/src/attempt_error.rs
@@ -1,53 +1,53 @@
-//! How an attempt fails: its cause, and the progress that decides whether it may have been executed.
+//! Failures of attempts: the cause, and the progress that decides whether the statement may have been executed.
 
 use leverpoint_routing::api::AttemptOutcome;
 use leverpoint_runtime::plant;
 
-/// How far an attempt has come; it only ever advances.
+/// Progress of an attempt on its connection. It only advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
     /// No connection to the server is open yet.
     NotConnected,
-    /// A connection is open, and the statement is not written whole.
+    /// A connection is open, but the statement is not completely written.
     NotWritten,
-    /// The statement is written: it may have been executed.
+    /// The statement is completely written, so it may have been executed.
     Written,
-    /// The server has begun to answer.
+    /// The first bytes of the server's answer have been received.
     Answering,
 }
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The connection was refused, ended or broke.
+    /// The connection was refused, closed or reset.
     ConnectionBroken,
     /// The answer violates the protocol.
     ProtocolViolation,
     /// The attempt's timeout passed.
     TimedOut,
-    /// The answer came too slowly to be complete before the attempt's deadline.
+    /// The answer arrives too slowly to be complete by the attempt's deadline.
     TooSlow,
     /// The router cancelled the attempt.
     Cancelled,
-    /// The decision no longer held as the attempt was about to start.
+    /// The attempt was no longer valid when it was about to start, see `Attempt::may_start`.
     NoLongerNeeded,
-    /// The server reported that it accepts no more connections.
+    /// The server answered that it accepts no more connections.
     ConnectionRejected,
-    /// No descriptor or no address was available to connect with.
+    /// No file descriptor or no address was available for a connection.
     NoConnectionPossible,
 }
 
-/// A failure of an attempt.
+/// Why and at which point an attempt failed.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptError {
-    /// How far the attempt had come.
+    /// The attempt's progress when it failed.
     pub progress: Progress,
-    /// Why it failed.
+    /// The reason of the failure.
     pub cause: Cause,
 }
 
 impl AttemptError {
-    /// Returns the outcome that the router is told.
+    /// Returns the outcome that is reported to the router.
     #[must_use]
     pub fn outcome(self) -> AttemptOutcome {
         match (self.progress < Progress::Written, self.cause) {
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The engine's handling of attempts: starting them, recording their outcomes and answering requests.
+//! The engine's handling of attempts: starts them, records their outcomes and delivers final answers.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,14 +16,15 @@
 use crate::request::FinalAnswer;
 use crate::request_table::OpenRequest;
 
-/// How far ahead of this gateway's clock a reported position may lie: more than any clock is off.
+/// Largest plausible lead of a reported position over this gateway's clock, in milliseconds. It exceeds the skew of any
+/// clock.
 const MAX_CLOCK_DIFFERENCE_MS: f64 = 60_000.0;
 
-/// Stands for an address that is not known.
+/// Placeholder for an unknown address; an attempt with it is never executed.
 const UNKNOWN_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl Engine {
-    /// Starts an attempt of a request.
+    /// Starts an attempt of a request, unless the request is gone. It must not start after `start_by`.
     pub(crate) fn start_attempt(
         self: &Rc<Self>,
         request: usize,
@@ -35,21 +36,21 @@
         let Some(open) = requests.get_mut(request) else {
             return;
         };
-        open.held.attempts_in_flight += 1;
+        open.usage.attempts_in_flight += 1;
         let (number, cancelled) = open.attempts.start();
-        let of = AttemptRequest {
+        let attempt_request = AttemptRequest {
             statement: open.statement.clone(),
             client: open.client.clone(),
             session: open.session,
-            over: open.over.clone(),
+            finished: open.finished.clone(),
             start_by,
         };
         drop(requests);
         let kind = AttemptKind::Request { request, number };
-        self.execute(kind, server, timeout, Some(of), cancelled);
+        self.execute(kind, server, timeout, Some(attempt_request), cancelled);
     }
 
-    /// Starts a probe of a server.
+    /// Starts a probe of a server, which may take as long as opening a connection.
     pub(crate) fn start_probe(self: &Rc<Self>, server: usize) {
         let timeout = self.settings.connect_timeout;
         self.execute(AttemptKind::Probe, server, timeout, None, Rc::default());
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Records an attempt's outcome, and returns what the router is told of it; none where the request is gone.
+    /// Records an attempt's outcome and returns it for the router; none if the request is gone.
     pub(crate) fn record_finished(
         &self,
         report: &AttemptReport,
@@ -86,20 +87,20 @@
         let mut requests = self.requests.borrow_mut();
         let open = requests.get_mut(report.request)?;
         let answered = report.outcome == AttemptOutcome::Answered;
-        open.held.attempts_in_flight -= 1;
+        open.usage.attempts_in_flight -= 1;
         open.attempts.finish(report.number);
         if answered {
-            open.mark_over();
+            open.mark_finished();
         }
-        let held = open.held;
+        let usage = open.usage;
         let server_report = self
-            .server_report(report.reported, held.write && answered)
-            .filter(|_| !(held.write && plant("token-forgotten")));
-        if let (Some(reads), Some(session)) = (&self.session_consistency, &open.session) {
-            reads.on_attempt_finished(session, now, report.outcome, server_report);
+            .server_report(report.reported, usage.write && answered)
+            .filter(|_| !(usage.write && plant("token-forgotten")));
+        if let (Some(sessions), Some(session)) = (&self.session_consistency, &open.session) {
+            sessions.on_attempt_finished(session, now, report.outcome, server_report);
         }
         open.possibly_executed |= !report.outcome.never_executed();
-        let answered_write = if answered && held.write {
+        let answered_write = if answered && usage.write {
             open.write_ticket.take()
         } else {
             None
@@ -107,77 +108,82 @@
         self.finish_write(answered_write, now, server_report);
         requests
             .sessions
-            .on_attempt_finished(&held, report.outcome, server_report);
+            .on_attempt_finished(&usage, report.outcome, server_report);
         Some(FinishedAttempt {
             request: report.request,
             attempt: report.number,
             server: report.server,
             outcome: report.outcome,
             elapsed: report.elapsed,
-            request_finished: held.finished,
+            request_finished: usage.finished,
             report: server_report,
         })
     }
 
-    /// Marks the request of a disconnected client as over; none where it was over before.
+    /// Marks the request of a disconnected client as finished; returns none if it was finished already.
     pub(crate) fn close_disconnected(&self, request: usize) -> Option<()> {
         let mut requests = self.requests.borrow_mut();
         let open = requests.get_mut(request)?;
-        if open.held.finished {
+        if open.usage.finished {
             return None;
         }
-        open.mark_over();
-        open.answer = None;
+        open.mark_finished();
+        open.answer_sender = None;
         self.metrics.on_client_disconnected();
         Some(())
     }
 
-    /// Tells the replica holders of a write what it has come to.
+    /// Reports the outcome of an answered write to its replica holders.
     fn finish_write(&self, ticket: Option<u64>, now: Ticks, report: Option<ServerReport>) {
         let (Some(replicated_state), Some(ticket)) = (self.replicated_state(), ticket) else {
             return;
         };
         let position = report.and_then(|report| report.position);
-        let came = position.map_or_else(|| self.possibly_executed(now), WriteOutcome::Acknowledged);
-        replicated_state.finish_write(ticket, came);
+        let outcome =
+            position.map_or_else(|| self.possibly_executed(now), WriteOutcome::Acknowledged);
+        replicated_state.finish_write(ticket, outcome);
     }
 
-    /// What replica holders are told of a write that may have been executed by now.
+    /// Returns the outcome of a write that may have been executed, with a position that covers all its effects up to now.
     fn possibly_executed(&self, now: Ticks) -> WriteOutcome {
-        let reads = self.session_consistency.as_ref();
-        WriteOutcome::PossiblyExecuted(reads.map_or(now, |reads| reads.position_at(now)))
+        let sessions = self.session_consistency.as_ref();
+        WriteOutcome::PossiblyExecuted(sessions.map_or(now, |sessions| sessions.position_at(now)))
     }
 
-    /// Tells the replica holders of a write before its row goes out, so that they hear of it before the client does.
+    /// Reports the outcome of a write to its replica holders before its row is delivered, so that they learn of it before
+    /// the client does.
     pub(crate) fn on_write_answered(&self, kind: AttemptKind, report: Option<ServerReport>) {
         let AttemptKind::Request { request, .. } = kind else {
             return;
         };
         let mut requests = self.requests.borrow_mut();
-        let open = requests.get_mut(request).filter(|open| !open.held.finished);
+        let open = requests
+            .get_mut(request)
+            .filter(|open| !open.usage.finished);
         let ticket = open.and_then(|open| open.write_ticket.take());
         drop(requests);
         self.finish_write(ticket, self.clock.now(), report);
     }
 
-    /// What a server has reported of itself, as far as it can be true; `commit`: behind the row of a write.
+    /// Validates what a server has reported of itself. `commit` tells that it was reported after the row of a write: its
+    /// position is then rounded up rather than down. Implausible positions are dropped, and so is a report without a role.
     pub(crate) fn server_report(
         &self,
         reported: Option<ReportedParameters>,
         commit: bool,
     ) -> Option<ServerReport> {
         let reported = reported?;
-        let rounded = if commit { ceil_ticks } else { floor_ticks };
-        // Positions are times of a clock that all machines share, so they lie in the past.
+        let round = if commit { ceil_ticks } else { floor_ticks };
+        // Positions are times on a clock that all hosts share, so they can't be in the future.
         let latest = self.clock.now() + ceil_ticks(MAX_CLOCK_DIFFERENCE_MS);
-        let position = reported.position.map(rounded);
+        let position = reported.position.map(round);
         Some(ServerReport {
             primary: reported.primary?,
             position: position.filter(|at| (0..=latest).contains(at)),
         })
     }
 
-    /// Sends a request its final answer, if it has none yet.
+    /// Sends a request's final answer to its client, unless the request is finished.
     pub(crate) fn deliver(&self, request: usize, answer: FinalAnswer) {
         if plant("wait-without-end") && !matches!(answer, FinalAnswer::Answered(_)) {
             return;
@@ -188,45 +194,48 @@
             answer
         };
         let mut requests = self.requests.borrow_mut();
-        let Some(open) = requests.get_mut(request).filter(|open| !open.held.finished) else {
+        let Some(open) = requests
+            .get_mut(request)
+            .filter(|open| !open.usage.finished)
+        else {
             return;
         };
-        open.mark_over();
+        open.mark_finished();
         increment(match answer {
             FinalAnswer::Answered(_) => &self.metrics.answered,
             FinalAnswer::Shed(_) => &self.metrics.shed,
             FinalAnswer::Failed => &self.metrics.failed,
         });
-        if let Some(client) = open.answer.take() {
+        if let Some(sender) = open.answer_sender.take() {
             // The client may have disconnected.
-            let _ = client.send(answer);
+            let _ = sender.send(answer);
         }
     }
 
-    /// Frees the index of a request that is over and has no attempt outstanding.
-    pub(crate) fn recycle(&self, request: usize) {
-        let done = self.requests.borrow_mut().remove_done(request);
-        if let Some(open) = done {
+    /// Frees the index of a request that is finished and has no outstanding attempt.
+    pub(crate) fn recycle_index(&self, request: usize) {
+        let removed = self.requests.borrow_mut().remove_releasable(request);
+        if let Some(open) = removed {
             self.finish_unanswered_write(&open);
         }
     }
 
-    /// Tells the replica holders of a write that has ended without an answer.
+    /// Reports to its replica holders that a write has ended without an answer.
     fn finish_unanswered_write(&self, open: &OpenRequest) {
         let (Some(replicated_state), Some(ticket)) = (self.replicated_state(), open.write_ticket)
         else {
             return;
         };
-        let came = if open.possibly_executed {
+        let outcome = if open.possibly_executed {
             self.possibly_executed(self.clock.now())
         } else {
             WriteOutcome::NotExecuted
         };
-        replicated_state.finish_write(ticket, came);
+        replicated_state.finish_write(ticket, outcome);
     }
 }
 
-/// A failpoint: the previous row in place of this one.
+/// Fault `other-value`: replaces a row by the previous one.
 fn previous_row_instead(answer: FinalAnswer) -> FinalAnswer {
     thread_local! {
         static PREVIOUS: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
--- a/crates/engine/src/buffer_reservation.rs
+++ b/crates/engine/src/buffer_reservation.rs
@@ -1,4 +1,4 @@
-//! Reservations of buffer bytes for messages that are longer than a ring buffer takes by itself.
+//! Reservations of buffer bytes for messages that exceed `UNRESERVED_BYTES`.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 
 use crate::client_connections::ClientConnection;
 
-/// Buffer bytes reserved for a client; released when dropped.
+/// Buffer bytes of one direction that are reserved for a client; released when dropped.
 pub struct BufferReservation {
     owner: Rc<ClientConnection>,
     kind: BufferKind,
@@ -19,12 +19,12 @@
         BufferReservation { owner, kind, bytes }
     }
 
-    /// Adds the bytes of another reservation of the same client and kind.
-    pub fn merge(&mut self, mut more: BufferReservation) {
-        self.bytes += std::mem::take(&mut more.bytes);
+    /// Takes over the bytes of another reservation, which must be of the same client and kind.
+    pub fn merge(&mut self, mut other: BufferReservation) {
+        self.bytes += std::mem::take(&mut other.bytes);
     }
 
-    /// Turns the reservation into a number of bytes that the caller releases.
+    /// Consumes the reservation without releasing it; the caller has to release the returned number of bytes.
     pub(crate) fn into_bytes(mut self) -> usize {
         std::mem::take(&mut self.bytes)
     }
@@ -33,7 +33,7 @@
 impl Drop for BufferReservation {
     fn drop(&mut self) {
         if plant("claim-kept") {
-            // The client's leaving would release it.
+            // Leaks the client as well, as its drop would release the bytes.
             return std::mem::forget(self.owner.clone());
         }
         self.owner.release(self.kind, self.bytes);
--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 pub use crate::buffer_reservation::BufferReservation;
-use crate::line_limiter::LineLimiter;
+use crate::log_line_limiter::LogLineLimiter;
 
 /// How often connections with unacknowledged bytes are checked: several times in the shortest grace.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -36,7 +36,7 @@
     arrivals: Cell<ArrivalRateLimiter>,
     /// The most bytes that were held at once, those in the kernel among them.
     held_peak: Cell<usize>,
-    eviction_lines: LineLimiter,
+    eviction_lines: LogLineLimiter,
     log: slog::Logger,
 }
 
@@ -90,7 +90,7 @@
             unacknowledged: Notify::new(),
             arrivals: Cell::default(),
             held_peak: Cell::new(0),
-            eviction_lines: LineLimiter::default(),
+            eviction_lines: LogLineLimiter::default(),
             log,
         })
     }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,4 +1,4 @@
-//! The engine's clock: Unix time in ticks, monotonic from the moment it was made.
+//! The engine's clock: Unix time in ticks, monotonic since the clock's creation.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const NANOS_PER_TICK: u128 = 100_000;
 
-/// Unix time, read once and carried forward by the monotonic clock.
+/// Unix time that is read once and advanced by the monotonic clock, so that steps of the wall clock don't affect it.
 pub(crate) struct Clock {
     started: Instant,
     unix_at_start: Duration,
@@ -22,19 +22,19 @@
         }
     }
 
-    /// Returns the present time, rounded up so that a client's remaining time is never overestimated.
+    /// Returns the current time, rounded up so that a client's remaining time is never overestimated.
     pub(crate) fn now(&self) -> Ticks {
         let elapsed = self.unix_at_start + since(self.started);
         elapsed.as_nanos().div_ceil(NANOS_PER_TICK) as Ticks
     }
 
-    /// Returns the time of an instant, rounded down.
+    /// Converts an instant to ticks, rounded down; instants before the clock's creation count as its creation.
     pub(crate) fn at(&self, instant: Instant) -> Ticks {
         let elapsed = self.unix_at_start + instant.saturating_duration_since(self.started);
         (elapsed.as_nanos() / NANOS_PER_TICK) as Ticks
     }
 
-    /// Returns the instant of a time; times before the start map to the start.
+    /// Converts ticks to an instant; times before the clock's creation count as its creation.
     pub(crate) fn instant(&self, at: Ticks) -> Instant {
         self.started + ticks_to_duration(at).saturating_sub(self.unix_at_start)
     }
--- a/crates/engine/src/descriptor_budget.rs
+++ b/crates/engine/src/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of file descriptors that connections of clients and to servers share.
+//! The budget of file descriptors shared by client connections and server connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,64 +8,67 @@
 
 pub use crate::eviction::{ClientActivity, ConnectionEviction};
 
-/// Descriptors for everything but connections of clients and to servers: three standard streams, two that a starter may
-/// leave open, five of the runtime and its signals, the listening socket, a connection accepted but not
-/// claimed for yet, and three calls to discovery; fifteen counted, and one to spare.
+/// Descriptors used for anything but client and server connections: three standard streams, two that the parent process
+/// may leave open, five of the runtime and its signal handling, the listening socket, a connection that is accepted but has
+/// no permit yet, and three calls to discovery. These are fifteen; one more is spare.
 const OTHER_DESCRIPTORS: usize = 16;
 
-/// The descriptors that connections may hold, over both sides.
+/// Limits the descriptors held by client and server connections together.
 ///
-/// Each side has half. Servers may use what clients leave of theirs, and give it back from their idle
-/// connections; clients at their half make room among themselves. A client that still comes has been accepted
-/// by the machine, and its request with it, so it is read and shed rather than left to wait: a sixteenth is
-/// reserved for that, as it takes no longer than a client needs to close; once it is used up accepting pauses.
+/// Each side is entitled to half. Server connections may use descriptors that clients leave free; when clients need them,
+/// idle server connections are closed. Once clients have used their half, a new client is admitted only by evicting another
+/// one. The kernel has already accepted the connection of a client beyond that, and may hold its request, so the request is
+/// read and shed rather than left waiting. A sixteenth of the descriptors is reserved for such clients, each of which holds
+/// its descriptor only until it has closed its connection. When the reserve is used up, accepting pauses.
 pub struct DescriptorBudget {
     free: Cell<usize>,
+    /// Descriptors held by client connections.
     clients: Cell<usize>,
-    for_clients: usize,
-    /// Reserved for clients that are shed.
-    for_shed: usize,
+    /// Descriptors that clients are entitled to.
+    client_share: usize,
+    /// Descriptors reserved for clients whose request is shed.
+    shed_reserve: usize,
     freed: Notify,
-    /// Closes an idle connection to a server; whether there was one.
+    /// Closes an idle server connection and returns whether there was one.
     close_idle: RefCell<Option<Box<dyn Fn() -> bool>>>,
     eviction: Rc<ConnectionEviction>,
 }
 
-/// One descriptor; released when dropped.
+/// Permission to use one descriptor; returned to the budget when dropped.
 pub struct DescriptorPermit {
     budget: Rc<DescriptorBudget>,
     client: bool,
 }
 
 impl DescriptorBudget {
-    /// Makes a budget out of all descriptors of the process.
-    pub fn new(sockets: usize, eviction: Rc<ConnectionEviction>) -> Rc<Self> {
-        let left = sockets.saturating_sub(OTHER_DESCRIPTORS);
-        let for_shed = (left / 16).max(1);
+    /// Creates a budget; `descriptors` is the process's limit of open descriptors.
+    pub fn new(descriptors: usize, eviction: Rc<ConnectionEviction>) -> Rc<Self> {
+        let available = descriptors.saturating_sub(OTHER_DESCRIPTORS);
+        let shed_reserve = (available / 16).max(1);
         Rc::new(DescriptorBudget {
-            free: Cell::new(left),
+            free: Cell::new(available),
             clients: Cell::new(0),
-            for_clients: left - for_shed - (left - for_shed) / 2,
-            for_shed,
+            client_share: available - shed_reserve - (available - shed_reserve) / 2,
+            shed_reserve,
             freed: Notify::new(),
             close_idle: RefCell::new(None),
             eviction,
         })
     }
 
-    /// Sets what closes an idle connection to a server and returns whether there was one.
+    /// Sets the function that closes an idle server connection and returns whether there was one.
     pub fn set_idle_closer(&self, close: Box<dyn Fn() -> bool>) {
         *self.close_idle.borrow_mut() = Some(close);
     }
 
-    /// Acquires a descriptor if that leaves `kept` of them free.
-    fn try_acquire(self: &Rc<Self>, client: bool, kept: usize) -> Option<DescriptorPermit> {
-        let left = self
+    /// Acquires a descriptor if at least `min_free` remain free after that.
+    fn try_acquire(self: &Rc<Self>, client: bool, min_free: usize) -> Option<DescriptorPermit> {
+        let remaining = self
             .free
             .get()
             .checked_sub(1)
-            .filter(|left| *left >= kept)?;
-        self.free.set(left);
+            .filter(|remaining| *remaining >= min_free)?;
+        self.free.set(remaining);
         self.clients.set(self.clients.get() + usize::from(client));
         Some(DescriptorPermit {
             budget: self.clone(),
@@ -80,11 +83,13 @@
             .is_some_and(|close| close())
     }
 
-    /// Acquires a descriptor for a connection to a server; the caller bounds the wait.
+    /// Acquires a descriptor for a server connection: closes an idle server connection for it, else evicts a client.
+    ///
+    /// Waits until a descriptor is free, without a limit; callers apply a timeout.
     pub async fn acquire_for_server(self: &Rc<Self>) -> DescriptorPermit {
         loop {
             let freed = self.freed.notified();
-            if let Some(permit) = self.try_acquire(false, self.for_shed) {
+            if let Some(permit) = self.try_acquire(false, self.shed_reserve) {
                 return permit;
             }
             if !self.close_idle() {
@@ -94,20 +99,20 @@
         }
     }
 
-    /// Acquires a descriptor for a client, and returns whether the client may stay.
+    /// Acquires a descriptor for a client, and returns whether the client is admitted; otherwise its request is to be shed.
     pub async fn acquire_for_client(self: &Rc<Self>) -> (DescriptorPermit, bool) {
         loop {
             let freed = self.freed.notified();
-            let entitled = self.clients.get() < self.for_clients;
-            if entitled && let Some(permit) = self.try_acquire(true, self.for_shed) {
+            let within_share = self.clients.get() < self.client_share;
+            if within_share && let Some(permit) = self.try_acquire(true, self.shed_reserve) {
                 return (permit, true);
             }
-            if entitled && self.close_idle() {
+            if within_share && self.close_idle() {
                 continue;
             }
-            // Connections accepted or evicted a moment ago run first, so that each is counted as what it is by now.
+            // Lets tasks of recently accepted or evicted connections run first, so that the counts reflect them.
             yield_now().await;
-            // One that is evicted releases in a moment what the new one takes now.
+            // Uses the reserve: an evicted connection returns its descriptor shortly.
             if let Some(permit) = self.try_acquire(true, 0) {
                 return (permit, self.eviction.evict_one());
             }
--- a/crates/engine/src/discovery.rs
+++ b/crates/engine/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The engine's handling of discovery: endpoint lists, their age, and primaries that others have seen.
+//! The engine's handling of discovery: endpoint lists, their age and lease, and announcements of primaries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,16 +10,17 @@
 use crate::engine::{Engine, EngineEvent};
 
 impl Engine {
-    /// Takes primaries that replica holders know of: replica set, server and time of the report.
+    /// Handles primaries recorded at replica holders, each as replica set, server name and time of observation. Entries
+    /// that the endpoint list does not confirm are ignored.
     pub fn on_primaries_reported(self: &Rc<Self>, primaries: &[(u16, String, Ticks)]) {
         let announcements = primaries
             .iter()
             .filter_map(|(set, server, at)| self.endpoints.announcement(*set, server, *at))
             .collect();
-        self.take(EngineEvent::PrimariesAnnounced(announcements));
+        self.dispatch(EngineEvent::PrimariesAnnounced(announcements));
     }
 
-    /// Takes an update of the endpoint list; `revision` is 0 where it has none.
+    /// Handles an update of the endpoint list; `revision` is 0 if it has none.
     pub fn on_endpoint_list(
         self: &Rc<Self>,
         update: EndpointUpdate,
@@ -30,7 +31,7 @@
         let applied = self
             .endpoints
             .apply(update, revision, entries, zones, &self.log);
-        self.take(EngineEvent::EndpointList(update, applied.endpoints));
+        self.dispatch(EngineEvent::EndpointList(update, applied.endpoints));
         if update == EndpointUpdate::Failed {
             return;
         }
@@ -46,50 +47,52 @@
         }
     }
 
-    /// Takes the outcome of a call to discovery; a list that came with it has been taken before.
+    /// Handles the outcome of a call to discovery. A list that the call returned must have been passed to
+    /// [`Engine::on_endpoint_list`] before.
     pub fn on_discovery_outcome(self: &Rc<Self>, outcome: DiscoveryOutcome) {
         if outcome == DiscoveryOutcome::Confirmed {
             self.endpoints.mark_confirmed();
         }
-        // An agent that pushes its list is called many times a second, and what it answers ends no lease.
+        // An agent that pushes its list is called many times a second, and its answers do not affect the lease.
         if !self.settings.routing.endpoint_list.pushed {
-            self.take(EngineEvent::Discovery(outcome));
+            self.dispatch(EngineEvent::Discovery(outcome));
         }
     }
 
-    /// Whether there is an endpoint list to route by.
+    /// Whether an endpoint list has been received, so that requests can be routed.
     pub fn has_endpoint_list(&self) -> bool {
         self.endpoints.is_received()
     }
 
-    /// Waits until there is an endpoint list to route by.
+    /// Waits until an endpoint list has been received.
     pub async fn endpoint_list_received(&self) {
         self.endpoints.wait_received().await;
     }
 
-    /// Waits until discovery has answered once: what it can tell at a start counts from then on.
+    /// Waits until discovery has answered once since the start, with a list or with its confirmation.
     pub async fn discovery_answered(&self) {
         self.endpoints.wait_answered().await;
     }
 
-    /// Time since discovery confirmed the list, and time until its lease ends; none where it has no end.
+    /// Returns the time since discovery last confirmed the list, none if it never did, and the time until the list's lease
+    /// expires, none if it does not expire.
     pub fn endpoint_list_age(&self) -> (Option<Duration>, Option<Duration>) {
         let lease_end = self.router.borrow().lease().expires_at();
         let left = lease_end.map(|end| ticks_to_duration((end - self.clock.now()).max(0)));
         (self.endpoints.since_confirmed(), left)
     }
 
-    /// The revision of the newest endpoint list that was taken.
+    /// Returns the highest revision of an endpoint list received so far.
     pub fn endpoint_list_revision(&self) -> u64 {
         self.endpoints.revision()
     }
 
-    /// Whether the lease of the endpoint list has ended.
+    /// Whether the lease of the endpoint list has expired.
     pub(crate) fn is_endpoint_list_expired(&self) -> bool {
         self.router.borrow().lease().is_expired(self.clock.now())
     }
 
-    /// Tells replica holders which servers drain by the present list, for gateways that start later.
+    /// Records the draining servers of the current list at replica holders, for gateways that start later.
     fn record_drained(&self) {
         if let Some(replicated_state) = self.replicated_state() {
             let drained = self.endpoints.drained();
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Tells replica holders of a primary. Gateways have no protocol of their own for announcements.
+    /// Records a primary at replica holders: announcements reach other gateways only this way.
     pub(crate) fn announce_primary(&self, announcement: PrimaryAnnouncement) {
         if let Some(replicated_state) = self.replicated_state() {
             let (set, server) = self.endpoints.set_and_name(announcement.server);
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the engine knows it: addresses, and the indices under which the router knows servers and sets.
+//! The endpoint list: addresses of servers, and the indices by which the router identifies servers and replica sets.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,28 +13,28 @@
 
 use crate::latch::Latch;
 
-/// One endpoint of discovery's list.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The server's unique name.
     pub uid: String,
-    /// Its address, where the list states one.
+    /// Its address; if none, the last known one stays in use.
     pub address: Option<SocketAddr>,
     /// Name of its zone.
     pub zone: String,
     /// Number of its replica set.
     pub set: u16,
-    /// Its state.
+    /// Whether it is ready, draining or gone.
     pub state: EndpointState,
     /// Whether the list names it as the primary of its set.
     pub primary: bool,
-    /// Its size, relative to other servers.
+    /// Its capacity, relative to other servers.
     pub size: f64,
-    /// Unix milliseconds of its last start; 0 when long ago.
+    /// When it last started, in Unix milliseconds; 0 if that was long ago.
     pub started_ms: f64,
 }
 
-/// What the engine knows of a server beside the router.
+/// State of a server that the engine keeps in addition to the router's.
 #[derive(Clone, Default)]
 struct EndpointRecord {
     known: bool,
@@ -42,7 +42,7 @@
     started_ms: f64,
     set: u16,
     drained: bool,
-    /// How often it was replaced: drained, moved, restarted or gone.
+    /// How often it was found drained, moved, restarted or gone.
     replacements: u64,
 }
 
@@ -53,35 +53,36 @@
     records: Vec<EndpointRecord>,
 }
 
-/// An update of the endpoint list, in the router's terms.
+/// An update of the endpoint list, converted to the router's types.
 pub(crate) struct AppliedUpdate {
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Servers that drain, are gone, have moved or have restarted.
+    /// Servers that are draining or gone, or have moved or restarted.
     pub(crate) replaced: Vec<usize>,
 }
 
-/// Sizes of the endpoint tables.
+/// Numbers of entries in the endpoint tables.
 pub(crate) struct EndpointTableSizes {
     pub(crate) servers: usize,
     pub(crate) records: usize,
 }
 
-/// The endpoint list, its revision and its age.
+/// The endpoint list with its revision and age.
 #[derive(Default)]
 pub(crate) struct Endpoints {
     table: RefCell<EndpointTable>,
-    /// Set once there is a list.
+    /// Set when the first list is received.
     received: Latch,
-    /// Set once discovery has answered.
+    /// Set when discovery first answers.
     answered: Latch,
-    /// The newest revision that was received.
+    /// The highest revision received.
     revision: Cell<u64>,
     /// When discovery last confirmed the list.
     confirmed_at: Cell<Option<Instant>>,
 }
 
 impl EndpointTable {
-    /// Records one entry and returns it in the router's terms.
+    /// Records one entry and converts it to the router's type. Adds the server to `replaced` where its connections are to be
+    /// replaced.
     fn record(
         &mut self,
         entry: &EndpointEntry,
@@ -95,7 +96,7 @@
         }
         let record = &mut self.records[server];
         if !std::mem::replace(&mut record.known, true) {
-            // The router's log lines name servers by this number.
+            // Maps the server numbers in the router's log lines to names.
             slog::info!(log, "server"; "number" => server, "uid" => &entry.uid, "set" => entry.set);
         }
         if record.update(entry) {
@@ -120,7 +121,7 @@
 }
 
 impl EndpointRecord {
-    /// Takes an entry over; returns whether connections to the server are to be replaced.
+    /// Updates the record from an entry; returns whether connections to the server are to be replaced.
     fn update(&mut self, entry: &EndpointEntry) -> bool {
         let address = entry.address.or(self.address);
         let moved = self.address.is_some() && self.address != address;
@@ -134,7 +135,7 @@
 }
 
 impl Endpoints {
-    /// Records an update of the list and returns it in the router's terms.
+    /// Records an update of the list and converts it to the router's types.
     pub(crate) fn apply(
         &self,
         update: EndpointUpdate,
@@ -151,7 +152,7 @@
             .map(|entry| table.record(entry, zones, &mut replaced, log))
             .collect();
         if update == EndpointUpdate::Full {
-            // What the full list does not have is gone.
+            // Servers that a full list does not contain are gone.
             let gone = |server: &usize| endpoints.iter().all(|e| e.server != *server);
             replaced.extend((0..table.records.len()).filter(gone));
         }
@@ -164,17 +165,17 @@
         }
     }
 
-    /// Notes that there is a list to route by.
+    /// Records that a list has been received.
     pub(crate) fn mark_received(&self) {
         self.received.set();
     }
 
-    /// Notes that discovery has answered.
+    /// Records that discovery has answered.
     pub(crate) fn mark_answered(&self) {
         self.answered.set();
     }
 
-    /// Notes that discovery has confirmed the list.
+    /// Records that discovery has confirmed the list.
     pub(crate) fn mark_confirmed(&self) {
         self.answered.set();
         self.confirmed_at.set(Some(now()));
@@ -200,28 +201,29 @@
         self.confirmed_at.get().map(since)
     }
 
-    /// Index of a replica set that the list has named.
+    /// Returns the index of a replica set; none if no list has contained it.
     pub(crate) fn set_index(&self, set: u16) -> Option<usize> {
         self.table.borrow().sets.find(&set)
     }
 
-    /// Address of a server, where one is known.
+    /// Returns the address of a server; none if it is not known.
     pub(crate) fn address(&self, server: usize) -> Option<SocketAddr> {
         self.table.borrow().records.get(server)?.address
     }
 
-    /// How often a server was replaced; none where it is not known.
+    /// Returns how often a server has been replaced; none for an unknown server. A changed number means that connections
+    /// and decisions made before are obsolete.
     pub(crate) fn replacements(&self, server: usize) -> Option<u64> {
         Some(self.table.borrow().records.get(server)?.replacements)
     }
 
-    /// Set and name of a server.
+    /// Returns the replica set and the name of a server.
     pub(crate) fn set_and_name(&self, server: usize) -> (u16, String) {
         let table = self.table.borrow();
         (table.records[server].set, table.servers.id(server).clone())
     }
 
-    /// The announcement that a server is the primary of its set; none where the list has it in no such set.
+    /// Creates the announcement that a server is the primary of `set`; none if the list does not have it in that set.
     pub(crate) fn announcement(
         &self,
         set: u16,
@@ -230,11 +232,11 @@
     ) -> Option<PrimaryAnnouncement> {
         let table = self.table.borrow();
         let server = table.servers.find(name)?;
-        let listed_there = table.records.get(server)?.set == set;
-        listed_there.then_some(PrimaryAnnouncement { server, at })
+        let in_set = table.records.get(server)?.set == set;
+        in_set.then_some(PrimaryAnnouncement { server, at })
     }
 
-    /// Names of the servers that drain, in order.
+    /// Returns the names of the draining servers, sorted.
     pub(crate) fn drained(&self) -> Vec<String> {
         let table = self.table.borrow();
         let records = table.records.iter().enumerate();
@@ -246,11 +248,11 @@
         names
     }
 
-    /// Forgets a server whose index the router has released.
+    /// Removes a server whose index the router has released.
     pub(crate) fn release(&self, server: usize) {
         let mut table = self.table.borrow_mut();
         table.servers.release(server);
-        // Numbers of replacements are never used twice.
+        // The counter goes on, so that attempts on the index's previous server don't match the next one.
         let replacements = table.records[server].replacements + 1;
         table.records[server] = EndpointRecord {
             replacements,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,12 +1,11 @@
-//! The coordinator: the one place that enters `Router::take`, and that carries out the router's actions.
+//! The event loop around the router: passes events to `Router::handle` and applies the actions that it returns.
 //!
-//! The client side brings requests and waits for their final answers, the server side executes attempts and reports
-//! their outcomes, discovery brings endpoint lists; none of them knows of the others. Nothing is decided here: each
-//! action is carried out as it stands, and an attempt that can't be executed finishes as not sent.
+//! This is the only caller of `Router::handle`. Every action is applied unchanged; an attempt that can't be executed
+//! finishes with the outcome `NotSent`.
 //!
 //! # Invariants
 //!
-//! `Router::take` is never entered from within another: events that come up meanwhile wait in the inbox.
+//! `Router::handle` is never reentered: events that arise while another is processed wait in the inbox.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -39,17 +38,22 @@
 
 pub(crate) const TICKS_PER_MS: u64 = 10;
 
-/// The outcome of an attempt, as the attempt reports it.
+/// The report that an attempt sends when it finishes.
 pub(crate) struct AttemptReport {
+    /// Index of the request.
     pub(crate) request: usize,
+    /// Number of the attempt within its request, from 0.
     pub(crate) number: u32,
+    /// Index of the server.
     pub(crate) server: usize,
     pub(crate) outcome: AttemptOutcome,
+    /// Time from the start of the attempt until its row was delivered, or until it finished without one.
     pub(crate) elapsed: Ticks,
+    /// None if the server has not reported its role and position.
     pub(crate) reported: Option<ReportedParameters>,
 }
 
-/// An event for the router.
+/// An event that the engine passes to the router.
 pub(crate) enum EngineEvent {
     EndpointList(EndpointUpdate, Vec<Endpoint>),
     Discovery(DiscoveryOutcome),
@@ -68,7 +72,7 @@
 }
 
 impl EngineEvent {
-    /// The request that the event is about.
+    /// Index of the request that the event concerns; none for events that concern no single request.
     fn request(&self) -> Option<usize> {
         match self {
             EngineEvent::RequestArrived(request) => Some(request.request),
@@ -85,19 +89,19 @@
     }
 }
 
-/// Events that wait for the router.
+/// Queue of events that have not been passed to the router yet.
 #[derive(Default)]
 struct Inbox {
     queue: RefCell<VecDeque<EngineEvent>>,
-    /// Whether events are being handled at present.
+    /// Whether an event is being processed.
     busy: Cell<bool>,
 }
 
-/// Marks the inbox as busy for as long as events are handled.
+/// Marks the inbox as busy until dropped.
 struct ReentrancyGuard<'a>(&'a Cell<bool>);
 
 impl<'a> ReentrancyGuard<'a> {
-    /// Returns none where events are being handled already.
+    /// Returns none if the inbox is busy already.
     fn enter(busy: &'a Cell<bool>) -> Option<Self> {
         (!busy.replace(true)).then(|| ReentrancyGuard(busy))
     }
@@ -109,15 +113,15 @@
     }
 }
 
-/// The parts that the engine calls, set once they have started.
+/// Components that the engine calls. They are set after the engine is created, as they need a reference to it.
 #[derive(Default)]
 struct Collaborators {
     executor: RefCell<Option<Rc<dyn AttemptExecutor>>>,
-    /// None where no state is replicated.
+    /// None if the gateway replicates no state.
     replicated_state: RefCell<Option<Rc<dyn ReplicatedState>>>,
 }
 
-/// Connects clients, servers and discovery with the router.
+/// Passes events of clients, attempts, discovery and timers to the router, and applies the router's actions.
 pub struct Engine {
     pub(crate) router: RefCell<Router>,
     inbox: Inbox,
@@ -126,17 +130,17 @@
     timers: Timers,
     pub(crate) clock: Clock,
     collaborators: Collaborators,
-    /// The settings.
+    /// Settings of the gateway, fixed for its lifetime.
     pub settings: Settings,
-    /// Counts of what is received, sent and answered.
+    /// Counters shared with the client side, the executor and discovery.
     pub metrics: Rc<Metrics>,
-    /// None where sessions are not tracked beyond what the router remembers.
+    /// None if session tracking is not configured: only the router's own session positions apply then.
     pub session_consistency: Option<SessionConsistency>,
     pub(crate) log: slog::Logger,
 }
 
 impl Engine {
-    /// Makes an engine that has neither an endpoint list nor an executor yet.
+    /// Creates an engine without an endpoint list and without an executor.
     pub fn new(
         settings: Settings,
         metrics: Rc<Metrics>,
@@ -162,12 +166,12 @@
         })
     }
 
-    /// Sets what executes attempts.
+    /// Sets the executor. Attempts that start before finish with the outcome `NotSent`.
     pub fn set_executor(&self, executor: Rc<dyn AttemptExecutor>) {
         *self.collaborators.executor.borrow_mut() = Some(executor);
     }
 
-    /// Sets where this gateway's state is replicated from now on.
+    /// Sets the interface to replicated state; from then on the gateway's state is replicated.
     pub fn set_replicated_state(&self, replicated_state: Rc<dyn ReplicatedState>) {
         self.session_consistency
             .iter()
@@ -183,14 +187,14 @@
         self.collaborators.replicated_state.borrow().clone()
     }
 
-    /// Ends all requests at `deadline`: what is still open then is answered without a server's answer, and so is at once
-    /// what comes later. What could not be answered by then is not sent to a server any more.
+    /// Ends all requests at `deadline`: requests that are still open then are shed or failed, and later ones are shed on
+    /// arrival. Requests that can't be answered by the deadline are no longer sent to a server.
     pub async fn end_requests_at(self: &Rc<Self>, deadline: Instant) {
-        self.take(EngineEvent::ShutdownScheduled(self.clock.at(deadline)));
+        self.dispatch(EngineEvent::ShutdownScheduled(self.clock.at(deadline)));
         sleep_until(deadline).await;
         let preparing = {
             let mut requests = self.requests.borrow_mut();
-            requests.closing = true;
+            requests.shutting_down = true;
             requests.take_all_preparing()
         };
         for preparing in preparing {
@@ -202,24 +206,26 @@
         }
     }
 
-    /// The longest client timeout of all request classes.
+    /// Returns the longest client timeout of all request classes.
     pub fn longest_timeout(&self) -> Duration {
         let classes = &self.settings.routing.classes;
         let longest = classes.iter().map(|class| class.timeout).max();
         ticks_to_duration(longest.unwrap_or(0))
     }
 
-    /// How long opening a connection to a server may take.
+    /// Returns the timeout for opening a connection to a server.
     pub fn connect_timeout(&self) -> Duration {
         ticks_to_duration(self.settings.connect_timeout)
     }
 
-    /// Takes note that a request's client has gone before its final answer.
+    /// Ends a request whose client has disconnected before its final answer.
     pub(crate) fn on_client_disconnected(self: &Rc<Self>, stage: RequestStage) {
         match stage {
-            RequestStage::Routed(request) => self.take(EngineEvent::ClientDisconnected(request)),
+            RequestStage::Routed(request) => {
+                self.dispatch(EngineEvent::ClientDisconnected(request))
+            }
             RequestStage::Preparing(number) => {
-                let preparing = self.requests.borrow_mut().take_prepared(number);
+                let preparing = self.requests.borrow_mut().take_preparing(number);
                 if let Some(preparing) = preparing {
                     self.metrics.on_client_disconnected();
                     self.end_unrouted(preparing, None);
@@ -229,15 +235,17 @@
         }
     }
 
-    /// Handles an event and those that come up meanwhile, one after the other.
-    pub(crate) fn take(self: &Rc<Self>, event: EngineEvent) {
+    /// Processes an event, then the events that arise from it, in order.
+    ///
+    /// A call from within another only queues its event.
+    pub(crate) fn dispatch(self: &Rc<Self>, event: EngineEvent) {
         self.inbox.queue.borrow_mut().push_back(event);
         let Some(_guard) = ReentrancyGuard::enter(&self.inbox.busy) else {
             return;
         };
         let mut actions = Vec::new();
         while let Some(event) = self.next_event() {
-            self.handle(event, &mut actions);
+            self.process(event, &mut actions);
         }
     }
 
@@ -245,13 +253,13 @@
         self.inbox.queue.borrow_mut().pop_front()
     }
 
-    /// Gives one event to the router and carries out its actions in their order.
+    /// Passes one event to the router and applies the resulting actions in order.
     ///
-    /// A panic in the router fails the request that the event is about, and nothing else.
-    fn handle(self: &Rc<Self>, event: EngineEvent, actions: &mut Vec<Action>) {
+    /// A panic in the router fails only the request that the event concerns.
+    fn process(self: &Rc<Self>, event: EngineEvent, actions: &mut Vec<Action>) {
         let request = event.request();
-        let routed = catch_unwind(AssertUnwindSafe(|| self.give_to_router(event, actions)));
-        let Ok(touched) = routed else {
+        let routed = catch_unwind(AssertUnwindSafe(|| self.forward_to_router(event, actions)));
+        let Ok(affected) = routed else {
             slog::error!(self.log, "router panicked"; "request" => request);
             actions.clear();
             if let Some(request) = request {
@@ -260,53 +268,53 @@
             return;
         };
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.apply_action(action);
         }
-        if let Some(request) = touched {
-            self.recycle(request);
+        if let Some(request) = affected {
+            self.recycle_index(request);
         }
     }
 
-    /// Gives one event to the router; returns the request whose attempts or client it has changed.
-    fn give_to_router(&self, event: EngineEvent, actions: &mut Vec<Action>) -> Option<usize> {
+    /// Passes one event to the router; returns the request whose attempt has finished or whose client has disconnected.
+    fn forward_to_router(&self, event: EngineEvent, actions: &mut Vec<Action>) -> Option<usize> {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
-        let mut tell = |event: &RoutingEvent<'_>| router.handle(now, event, actions);
+        let mut forward = |event: &RoutingEvent<'_>| router.handle(now, event, actions);
         match event {
-            EngineEvent::Discovery(outcome) => tell(&RoutingEvent::Discovery(outcome)),
+            EngineEvent::Discovery(outcome) => forward(&RoutingEvent::Discovery(outcome)),
             EngineEvent::EndpointList(update, endpoints) => {
-                tell(&RoutingEvent::Endpoints(update, &endpoints));
+                forward(&RoutingEvent::Endpoints(update, &endpoints));
             }
-            EngineEvent::RequestArrived(request) => tell(&RoutingEvent::RequestArrived(request)),
-            EngineEvent::WriteAnswered(request) => tell(&RoutingEvent::WriteAnswered(request)),
+            EngineEvent::RequestArrived(request) => forward(&RoutingEvent::RequestArrived(request)),
+            EngineEvent::WriteAnswered(request) => forward(&RoutingEvent::WriteAnswered(request)),
             EngineEvent::PrimariesAnnounced(announcements) => {
-                tell(&RoutingEvent::PrimariesAnnounced(&announcements));
+                forward(&RoutingEvent::PrimariesAnnounced(&announcements));
             }
-            EngineEvent::ShutdownScheduled(at) => tell(&RoutingEvent::ShutdownScheduled(at)),
-            EngineEvent::TimerExpired(key) => tell(&RoutingEvent::TimerExpired(key)),
+            EngineEvent::ShutdownScheduled(at) => forward(&RoutingEvent::ShutdownScheduled(at)),
+            EngineEvent::TimerExpired(key) => forward(&RoutingEvent::TimerExpired(key)),
             EngineEvent::ProbeFinished {
                 server,
                 ok,
                 reported,
             } => {
                 let report = self.server_report(reported, false);
-                tell(&RoutingEvent::ProbeFinished { server, ok, report });
+                forward(&RoutingEvent::ProbeFinished { server, ok, report });
             }
             EngineEvent::ClientDisconnected(request) => {
                 self.close_disconnected(request)?;
-                tell(&RoutingEvent::ClientDisconnected(request));
+                forward(&RoutingEvent::ClientDisconnected(request));
                 return Some(request);
             }
             EngineEvent::AttemptFinished(report) => {
                 let finished = self.record_finished(&report, now)?;
-                tell(&RoutingEvent::AttemptFinished(finished));
+                forward(&RoutingEvent::AttemptFinished(finished));
                 return Some(report.request);
             }
         }
         None
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn apply_action(self: &Rc<Self>, action: Action) {
         match action {
             Action::StartAttempt {
                 request,
@@ -327,16 +335,16 @@
                     request,
                     FinalAnswer::Shed(retry_after as u64 / TICKS_PER_MS),
                 );
-                self.recycle(request);
+                self.recycle_index(request);
             }
             Action::Fail { request } => {
                 self.deliver(request, FinalAnswer::Failed);
-                self.recycle(request);
+                self.recycle_index(request);
             }
             Action::SetTimer { at, key } => self.timers.set(at, key),
             Action::Probe { server } => self.start_probe(server),
             Action::AnnouncePrimary(announcement) => self.announce_primary(announcement),
-            // The gateway follows discovery from its start and polls by itself.
+            // The gateway's discovery client watches and polls on its own schedule.
             Action::PollEndpoints | Action::WatchEndpoints(_) => {}
             Action::ReleaseSession(session) => {
                 self.requests
@@ -354,7 +362,7 @@
         }
     }
 
-    /// Sizes of the tables; flat over a day of ever new ids.
+    /// Returns the sizes of the tables by name. None of them grows with the number of ids ever seen.
     pub fn table_sizes(&self) -> [(&'static str, usize); 6] {
         let requests = self.requests.borrow();
         let endpoints = self.endpoints.sizes();
@@ -368,17 +376,17 @@
         ]
     }
 
-    /// Number of requests that have no final answer yet.
+    /// Returns the number of requests that have no final answer yet.
     pub fn open_requests(&self) -> usize {
         self.requests.borrow().unanswered()
     }
 
-    /// Runs the router's timers, for as long as the gateway runs.
+    /// Passes expired timers to the router; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             self.timers.wait(&self.clock).await;
             while let Some(key) = self.timers.pop_expired(self.clock.now()) {
-                self.take(EngineEvent::TimerExpired(key));
+                self.dispatch(EngineEvent::TimerExpired(key));
             }
         }
     }
--- a/crates/engine/src/intake.rs
+++ b/crates/engine/src/intake.rs
@@ -24,18 +24,18 @@
 const DUPLICATE_OBJECT: &str = "42710";
 
 /// What a request's names stand for.
-struct Resolved {
+struct ResolvedNames {
     class: usize,
     tenant: usize,
     set: usize,
 }
 
-fn invalid(message: String) -> Rejection {
+fn invalid_parameter(message: String) -> Rejection {
     Rejection::Invalid(INVALID_PARAMETER, message)
 }
 
-fn unknown(key: &str, name: &str) -> Rejection {
-    invalid(format!("{key}: {name:.40} is not known here"))
+fn unknown_name(key: &str, name: &str) -> Rejection {
+    invalid_parameter(format!("{key}: {name:.40} is not known here"))
 }
 
 fn index_of(names: &[String], name: &str) -> Option<usize> {
@@ -48,10 +48,10 @@
     class: &RequestClass,
     session: Option<usize>,
     client: &Rc<ClientConnection>,
-    answer: oneshot::Sender<FinalAnswer>,
+    answer_sender: oneshot::Sender<FinalAnswer>,
 ) -> OpenRequest {
     OpenRequest {
-        held: RequestUsage {
+        usage: RequestUsage {
             write: class.consistency == Consistency::Write,
             session,
             ..RequestUsage::default()
@@ -63,10 +63,10 @@
             write: header.write,
         }),
         session: None,
-        answer: Some(answer),
+        answer_sender: Some(answer_sender),
         client: client.clone(),
         idempotency: class.idempotency,
-        over: Rc::default(),
+        finished: Rc::default(),
         attempts: Attempts::default(),
         write_ticket: None,
         possibly_executed: false,
@@ -95,19 +95,21 @@
         self.admit(&resolved, client, answer_deadline)?;
         let has_token = matches!(header.required_position, Some(RequiredPosition::Token(_)));
         if has_token && self.session_consistency.is_none() {
-            return Err(invalid("after: expected a number from 0 to 1e13".into()));
+            return Err(invalid_parameter(
+                "after: expected a number from 0 to 1e13".into(),
+            ));
         }
         let class_index = resolved.class;
         let request = self.routing_request(header, &resolved, deadline);
-        let (answer, receiver) = oneshot::channel();
-        let open = open_request(header, text, class, request.session, client, answer);
+        let (answer_sender, answer_receiver) = oneshot::channel();
+        let open = open_request(header, text, class, request.session, client, answer_sender);
         self.metrics.on_request(class_index);
-        let preparing = self.preparing(header, open, request, class);
+        let preparing = self.preparing_request(header, open, request, class);
         let pending = PendingRequest {
             engine: self.clone(),
             stage: preparing.stage.clone(),
-            answer: receiver,
-            done: false,
+            answer_receiver,
+            answered: false,
             class: class_index,
             answer_deadline,
         };
@@ -116,20 +118,20 @@
     }
 
     /// Resolves a request's names and checks that the request fits its class.
-    fn resolve(&self, header: &RequestHeader<'_>) -> Result<Resolved, Rejection> {
+    fn resolve(&self, header: &RequestHeader<'_>) -> Result<ResolvedNames, Rejection> {
         let class = index_of(&self.settings.classes, header.class)
-            .ok_or_else(|| unknown("c", header.class))?;
+            .ok_or_else(|| unknown_name("c", header.class))?;
         let tenant = self.resolve_tenant(header)?;
         let config = &self.settings.routing.classes[class];
         if (config.consistency == Consistency::Write) != header.write {
-            return Err(invalid(format!(
+            return Err(invalid_parameter(format!(
                 "c: {} does not fit the statement",
                 header.class
             )));
         }
-        let by_key = matches!(config.idempotency, Idempotency::IdempotentByKey { .. });
-        if by_key && header.idempotency_key.is_empty() {
-            return Err(invalid(format!(
+        let needs_key = matches!(config.idempotency, Idempotency::IdempotentByKey { .. });
+        if needs_key && header.idempotency_key.is_empty() {
+            return Err(invalid_parameter(format!(
                 "k: expected an idempotency key for {}",
                 header.class
             )));
@@ -137,33 +139,33 @@
         let set = self
             .endpoints
             .set_index(header.set)
-            .ok_or_else(|| unknown("cluster", &header.set.to_string()))?;
+            .ok_or_else(|| unknown_name("cluster", &header.set.to_string()))?;
         if self.requests.borrow().has_id(header.id) {
             return Err(Rejection::Invalid(
                 DUPLICATE_OBJECT,
                 "id: expected a new one, found that of an open command".into(),
             ));
         }
-        Ok(Resolved { class, tenant, set })
+        Ok(ResolvedNames { class, tenant, set })
     }
 
     fn resolve_tenant(&self, header: &RequestHeader<'_>) -> Result<usize, Rejection> {
         let tenants = &self.settings.tenants;
         match header.tenant {
             _ if tenants.is_empty() => Ok(0),
-            Some(name) => index_of(tenants, name).ok_or_else(|| unknown("t", name)),
-            None => Err(invalid("t: expected a customer".into())),
+            Some(name) => index_of(tenants, name).ok_or_else(|| unknown_name("t", name)),
+            None => Err(invalid_parameter("t: expected a customer".into())),
         }
     }
 
     /// Sheds a request for whose answer there is no capacity, and any once the gateway shuts down.
     fn admit(
         &self,
-        resolved: &Resolved,
+        resolved: &ResolvedNames,
         client: &Rc<ClientConnection>,
         answer_deadline: Instant,
     ) -> Result<(), Rejection> {
-        let admitted = if self.requests.borrow().closing {
+        let admitted = if self.requests.borrow().shutting_down {
             Err(0)
         } else {
             client.admit(resolved.class, resolved.tenant, answer_deadline)
@@ -192,7 +194,7 @@
     fn routing_request(
         &self,
         header: &RequestHeader<'_>,
-        resolved: &Resolved,
+        resolved: &ResolvedNames,
         deadline: Ticks,
     ) -> Request {
         let mut requests = self.requests.borrow_mut();
@@ -207,9 +209,12 @@
             _ => None,
         };
         // A client's own statement counts where the settings have it carry its position.
-        let carries = self.settings.routing.position_keeper == PositionKeeper::Client;
+        let client_carries_position =
+            self.settings.routing.position_keeper == PositionKeeper::Client;
         let required_position = match header.required_position {
-            Some(RequiredPosition::UnixMs(ms)) if ms > 0.0 && carries => Some(ceil_ticks(ms)),
+            Some(RequiredPosition::UnixMs(ms)) if ms > 0.0 && client_carries_position => {
+                Some(ceil_ticks(ms))
+            }
             _ => None,
         };
         Request {
@@ -226,7 +231,7 @@
         }
     }
 
-    fn preparing(
+    fn preparing_request(
         &self,
         header: &RequestHeader<'_>,
         open: OpenRequest,
@@ -234,13 +239,13 @@
         class: &RequestClass,
     ) -> PreparingRequest {
         let now = self.clock.now();
-        let objective = request.deadline.min(now + class.latency_objective);
+        let objective_deadline = request.deadline.min(now + class.latency_objective);
         let token = match header.required_position {
             Some(RequiredPosition::Token(token)) => Some(token.to_owned()),
             _ => None,
         };
-        let session_number = self.session_consistency.as_ref().map_or(0, |reads| {
-            reads.session_number(header.set, header.session_key)
+        let session_number = self.session_consistency.as_ref().map_or(0, |sessions| {
+            sessions.session_number(header.set, header.session_key)
         });
         PreparingRequest {
             open,
@@ -248,14 +253,14 @@
             stage: Rc::new(Cell::new(RequestStage::Ended)),
             session_number,
             consistency: class.consistency,
-            objective_left: (objective - now).max(0),
+            objective_remaining: (objective_deadline - now).max(0),
             token,
         }
     }
 
     /// Sends a request its final answer, if it has none yet.
     pub(crate) fn answer_unrouted(&self, open: &mut OpenRequest, answer: FinalAnswer) {
-        let Some(client) = open.answer.take() else {
+        let Some(sender) = open.answer_sender.take() else {
             return;
         };
         increment(match answer {
@@ -263,6 +268,6 @@
             _ => &self.metrics.failed,
         });
         // The client may have disconnected.
-        let _ = client.send(answer);
+        let _ = sender.send(answer);
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,8 @@
-//! The engine: where client connections and attempts on servers meet.
+//! Connects the client side, the router, the executor of attempts and discovery.
 //!
-//! The client side brings requests and waits for their final answers, an executor executes attempts and reports their
-//! outcomes, discovery brings endpoint lists; none knows of the others. Nothing here routes or reads a protocol.
+//! The client side submits requests and awaits their final answers, the executor runs attempts on servers and reports
+//! their outcomes, and discovery supplies endpoint lists. Each of them depends on the engine, none on another. Routing
+//! decisions are made by `leverpoint-routing`; this crate parses no protocol.
 
 #![warn(missing_docs)]
 
@@ -18,7 +19,7 @@
 mod eviction;
 mod intake;
 mod latch;
-mod line_limiter;
+mod log_line_limiter;
 pub mod metrics;
 mod preparation;
 pub mod replicated_state;
@@ -27,7 +28,7 @@
 pub mod session_consistency;
 mod timers;
 
-/// Bytes that each direction of a connection may hold without a reservation.
+/// Bytes that each direction of a connection may buffer without a reservation.
 ///
-/// Usual messages fit; those of 1,024 connections come to 8 MiB.
+/// Typical messages fit. 1,024 connections use at most 8 MiB this way.
 pub const UNRESERVED_BYTES: usize = 4 << 10;
--- a/crates/engine/src/line_limiter.rs
+++ b/crates/engine/src/log_line_limiter.rs
@@ -18,9 +18,9 @@
 
 /// Limits the log lines of one kind.
 #[derive(Default)]
-pub(crate) struct LineLimiter(Cell<Lines>);
+pub(crate) struct LogLineLimiter(Cell<Lines>);
 
-impl LineLimiter {
+impl LogLineLimiter {
     /// Returns how many lines were left out before this one; none where this one is to be left out as well.
     pub(crate) fn admit(&self, now: Ticks) -> Option<u32> {
         let mut lines = self.0.get();
--- a/crates/engine/src/preparation.rs
+++ b/crates/engine/src/preparation.rs
@@ -25,7 +25,8 @@
         let replicated_state = self
             .replicated_state()
             .filter(|_| self.session_consistency.is_some());
-        let Some(replicated_state) = replicated_state.filter(|_| self.asks_replicas(&preparing))
+        let Some(replicated_state) =
+            replicated_state.filter(|_| self.needs_replica_lookup(&preparing))
         else {
             return self.route(preparing, None);
         };
@@ -39,14 +40,16 @@
     }
 
     /// Whether replica holders may know what this gateway does not.
-    fn asks_replicas(&self, preparing: &PreparingRequest) -> bool {
+    fn needs_replica_lookup(&self, preparing: &PreparingRequest) -> bool {
         match preparing.consistency {
             Consistency::Write => true,
             Consistency::Session => {
                 let now = self.clock.now();
-                let reads = self.session_consistency.as_ref();
+                let sessions = self.session_consistency.as_ref();
                 preparing.token.is_none()
-                    && reads.is_some_and(|r| r.needs_position(preparing.session_number, now))
+                    && sessions.is_some_and(|sessions| {
+                        sessions.requires_current_position(preparing.session_number, now)
+                    })
             }
             _ => false,
         }
@@ -61,11 +64,11 @@
         let Idempotency::IdempotentByKey { window, scope } = preparing.open.idempotency else {
             return None;
         };
-        let reads = self.session_consistency.as_ref()?;
+        let sessions = self.session_consistency.as_ref()?;
         let key = header.idempotency_key;
         Some(IdempotencyClaim {
-            key: reads.idempotency_number(header.tenant.unwrap_or_default(), key),
-            attempt_id: reads.idempotency_number(header.id, key) ^ self.settings.routing.seed,
+            key: sessions.idempotency_number(header.tenant.unwrap_or_default(), key),
+            attempt_id: sessions.idempotency_number(header.id, key) ^ self.settings.routing.seed,
             replica_set: header.set,
             deduplication: match scope {
                 DeduplicationScope::Everywhere => DeduplicationDomain::Global,
@@ -88,7 +91,7 @@
         claim: Option<IdempotencyClaim>,
     ) {
         let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
-        let number = self.requests.borrow_mut().prepare(preparing);
+        let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_decision = Box::new(move |ticket, decision| {
             engine.on_write_decision(number, ticket, decision);
@@ -105,10 +108,10 @@
         preparing: PreparingRequest,
     ) {
         let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
-        let number = self.requests.borrow_mut().prepare(preparing);
+        let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_position = Box::new(move |position| {
-            let preparing = engine.requests.borrow_mut().take_prepared(number);
+            let preparing = engine.requests.borrow_mut().take_preparing(number);
             if let Some(preparing) = preparing {
                 engine.route(preparing, position);
             }
@@ -118,7 +121,7 @@
 
     /// Continues with a write whose replica holders were asked.
     fn on_write_decision(self: &Rc<Self>, number: u64, ticket: u64, decision: WriteDecision) {
-        let Some(mut preparing) = self.requests.borrow_mut().take_prepared(number) else {
+        let Some(mut preparing) = self.requests.borrow_mut().take_preparing(number) else {
             return;
         };
         preparing.open.write_ticket = Some(ticket);
@@ -167,26 +170,26 @@
     }
 
     /// Gives a request to the router; `replicated`: the position that its replica holders have of its session.
-    fn route(self: &Rc<Self>, preparing: PreparingRequest, replicated: Option<Ticks>) {
+    fn route(self: &Rc<Self>, preparing: PreparingRequest, replicated_position: Option<Ticks>) {
         let PreparingRequest {
             mut open,
             mut request,
             stage,
             session_number,
             consistency,
-            objective_left,
+            objective_remaining,
             token,
         } = preparing;
         let now = self.clock.now();
-        open.session = self.session_consistency.as_ref().and_then(|reads| {
-            reads.on_request(&RequestArrival {
+        open.session = self.session_consistency.as_ref().and_then(|sessions| {
+            sessions.on_request(&RequestArrival {
                 consistency,
-                session: session_number,
+                session_number,
                 set: request.set,
                 now,
-                objective_left,
+                objective_remaining,
                 token: token.as_deref(),
-                replicated_position: replicated,
+                replicated_position,
             })
         });
         let requirement = open.session.and_then(|session| session.requirement);
@@ -197,6 +200,6 @@
             requirement.map_or(0, |requirement| requirement.wait_for_replica_until);
         request.request = self.requests.borrow_mut().insert(open);
         stage.set(RequestStage::Routed(request.request));
-        self.take(EngineEvent::RequestArrived(request));
+        self.dispatch(EngineEvent::RequestArrived(request));
     }
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -107,8 +107,8 @@
 pub struct PendingRequest {
     pub(crate) engine: Rc<Engine>,
     pub(crate) stage: Rc<Cell<RequestStage>>,
-    pub(crate) answer: oneshot::Receiver<FinalAnswer>,
-    pub(crate) done: bool,
+    pub(crate) answer_receiver: oneshot::Receiver<FinalAnswer>,
+    pub(crate) answered: bool,
     /// Index of the request class.
     pub class: usize,
     /// When even a late answer no longer counts; the router has answered long before.
@@ -119,15 +119,15 @@
     type Output = FinalAnswer;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<FinalAnswer> {
-        let answer = std::task::ready!(Pin::new(&mut self.answer).poll(cx));
-        self.done = true;
+        let answer = std::task::ready!(Pin::new(&mut self.answer_receiver).poll(cx));
+        self.answered = true;
         Poll::Ready(answer.unwrap_or(FinalAnswer::Failed))
     }
 }
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if !self.done {
+        if !self.answered {
             self.engine.on_client_disconnected(self.stage.get());
         }
     }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -45,15 +45,15 @@
 
 /// A request that has no final answer yet, or still has attempts outstanding.
 pub(crate) struct OpenRequest {
-    pub(crate) held: RequestUsage,
+    pub(crate) usage: RequestUsage,
     pub(crate) id: Box<str>,
     pub(crate) statement: Rc<Statement>,
     pub(crate) session: Option<RequestSession>,
-    pub(crate) answer: Option<oneshot::Sender<FinalAnswer>>,
+    pub(crate) answer_sender: Option<oneshot::Sender<FinalAnswer>>,
     pub(crate) client: Rc<ClientConnection>,
     pub(crate) idempotency: Idempotency,
     /// Set with `held.over`: it needs no attempt any more, as its client has gone or it has its final answer.
-    pub(crate) over: Rc<Latch>,
+    pub(crate) finished: Rc<Latch>,
     pub(crate) attempts: Attempts,
     /// The ticket under which its replica holders know this write.
     pub(crate) write_ticket: Option<u64>,
@@ -61,9 +61,9 @@
 }
 
 impl OpenRequest {
-    pub(crate) fn mark_over(&mut self) {
-        self.held.finished = true;
-        self.over.set();
+    pub(crate) fn mark_finished(&mut self) {
+        self.usage.finished = true;
+        self.finished.set();
     }
 
     /// The answer of a request that is ended by a shutdown: one that may have been executed may only be called
@@ -87,7 +87,7 @@
     pub(crate) session_number: u64,
     pub(crate) consistency: Consistency,
     /// Time left to its latency objective when it arrived.
-    pub(crate) objective_left: Ticks,
+    pub(crate) objective_remaining: Ticks,
     /// The session token that came with it.
     pub(crate) token: Option<String>,
 }
@@ -100,9 +100,9 @@
     ids: HashSet<Box<str>>,
     pub(crate) sessions: Sessions<Box<str>>,
     preparing: BTreeMap<u64, PreparingRequest>,
-    preparations: u64,
+    last_preparation: u64,
     /// Whether the gateway shuts down: no request is accepted any more.
-    pub(crate) closing: bool,
+    pub(crate) shutting_down: bool,
 }
 
 impl RequestTable {
@@ -133,11 +133,11 @@
     }
 
     /// Removes a request that is over and has no attempt outstanding, and frees its index.
-    pub(crate) fn remove_done(&mut self, index: usize) -> Option<OpenRequest> {
-        let done = |open: &OpenRequest| {
-            open.held.is_releasable() || plant("index-early") && open.held.finished
+    pub(crate) fn remove_releasable(&mut self, index: usize) -> Option<OpenRequest> {
+        let releasable = |open: &OpenRequest| {
+            open.usage.is_releasable() || plant("index-early") && open.usage.finished
         };
-        let open = self.requests[index].take_if(|open| done(open))?;
+        let open = self.requests[index].take_if(|open| releasable(open))?;
         self.free.push(index);
         self.release(&open);
         Some(open)
@@ -146,13 +146,13 @@
     /// Forgets the id and the session of a request that has ended.
     pub(crate) fn release(&mut self, open: &OpenRequest) {
         self.ids.remove(&open.id);
-        self.sessions.on_request_finished(&open.held);
+        self.sessions.on_request_finished(&open.usage);
     }
 
     /// Adds a request whose replica holders are asked, and returns the number of its preparation.
-    pub(crate) fn prepare(&mut self, preparing: PreparingRequest) -> u64 {
-        self.preparations += 1;
-        let number = self.preparations;
+    pub(crate) fn insert_preparing(&mut self, preparing: PreparingRequest) -> u64 {
+        self.last_preparation += 1;
+        let number = self.last_preparation;
         preparing.stage.set(RequestStage::Preparing(number));
         self.preparing.insert(number, preparing);
         number
@@ -162,7 +162,7 @@
         self.preparing.get_mut(&number)
     }
 
-    pub(crate) fn take_prepared(&mut self, number: u64) -> Option<PreparingRequest> {
+    pub(crate) fn take_preparing(&mut self, number: u64) -> Option<PreparingRequest> {
         self.preparing.remove(&number)
     }
 
@@ -176,7 +176,7 @@
             .iter()
             .enumerate()
             .filter_map(|(index, open)| Some((index, open.as_ref()?)))
-            .filter(|(_, open)| !open.held.finished)
+            .filter(|(_, open)| !open.usage.finished)
             .map(|(index, open)| (index, open.shutdown_answer()))
             .collect()
     }
@@ -184,7 +184,7 @@
     /// Number of requests without a final answer.
     pub(crate) fn unanswered(&self) -> usize {
         let open = self.requests.iter().flatten();
-        open.filter(|open| !open.held.finished).count() + self.preparing.len()
+        open.filter(|open| !open.usage.finished).count() + self.preparing.len()
     }
 
     /// Number of indices, the free ones included.
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -12,8 +12,8 @@
 /// The session of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSession {
-    /// Number of the session.
-    pub session: u64,
+    /// Hash of the session, see [`SessionConsistency::session_number`].
+    pub number: u64,
     set: usize,
     arrived_at: Ticks,
     /// Whether the request writes.
@@ -26,14 +26,14 @@
 pub struct RequestArrival<'a> {
     /// What its class demands.
     pub consistency: Consistency,
-    /// Number of its session.
-    pub session: u64,
+    /// Hash of its session, see [`SessionConsistency::session_number`].
+    pub session_number: u64,
     /// Index of its replica set.
     pub set: usize,
     /// The present time.
     pub now: Ticks,
     /// Time left to its latency objective.
-    pub objective_left: Ticks,
+    pub objective_remaining: Ticks,
     /// Its session token.
     pub token: Option<&'a str>,
     /// The position that replica holders have of its session.
@@ -47,7 +47,7 @@
         requirement: Option<RequiredPosition>,
     ) -> RequestSession {
         RequestSession {
-            session: self.session,
+            number: self.session_number,
             set: self.set,
             arrived_at: self.now,
             write,
@@ -61,7 +61,7 @@
 
 /// What the sessions' reads must see.
 pub struct SessionConsistency {
-    book: RefCell<SessionTracker>,
+    tracker: RefCell<SessionTracker>,
     keys: Keys,
     secret: u64,
     clocks_checked_at: Cell<Ticks>,
@@ -79,9 +79,9 @@
         if plant("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
-        let book = RefCell::new(SessionTracker::new(tracking.config, now, seed));
+        let tracker = RefCell::new(SessionTracker::new(tracking.config, now, seed));
         SessionConsistency {
-            book,
+            tracker,
             keys: tracking.keys,
             secret: tracking.hash_secret,
             clocks_checked_at: Cell::new(now),
@@ -107,13 +107,13 @@
     }
 
     /// Whether a read must see everything up to now, by what is known at this gateway alone.
-    pub fn needs_position(&self, session: u64, now: Ticks) -> bool {
-        self.book.borrow().requires_current_instant(session, now)
+    pub fn requires_current_position(&self, session: u64, now: Ticks) -> bool {
+        self.tracker.borrow().requires_current_instant(session, now)
     }
 
     /// Returns the replication position that covers all writes answered by `now`.
     pub fn position_at(&self, now: Ticks) -> Ticks {
-        self.book.borrow().instant(now)
+        self.tracker.borrow().instant(now)
     }
 
     /// Sets what persists records.
@@ -127,13 +127,13 @@
         records: impl Iterator<Item = SessionPosition>,
         whole: Option<Ticks>,
     ) {
-        self.book.borrow_mut().restore(records, whole);
+        self.tracker.borrow_mut().restore(records, whole);
     }
 
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
-            self.book
+            self.tracker
                 .borrow_mut()
                 .on_clocks_read(now, (unix().as_micros() / 100) as Ticks, now);
         }
@@ -144,8 +144,8 @@
         self.check_clocks(arrival.now);
         match arrival.consistency {
             Consistency::Write => {
-                let mut book = self.book.borrow_mut();
-                book.on_write(arrival.session, arrival.now);
+                let mut tracker = self.tracker.borrow_mut();
+                tracker.on_write(arrival.session_number, arrival.now);
                 Some(arrival.request_session(true, None))
             }
             Consistency::Session => {
@@ -158,18 +158,18 @@
 
     /// What a read must see.
     fn read_requirement(&self, arrival: &RequestArrival<'_>) -> RequiredPosition {
-        let mut book = self.book.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         let verified = arrival
             .token
-            .and_then(|token| self.verified_position(token, arrival.session));
+            .and_then(|token| self.verified_position(token, arrival.session_number));
         if arrival.token.is_some() && verified.is_none() {
-            book.counts.refused_tokens += 1;
+            tracker.counts.refused_tokens += 1;
         }
-        book.on_read(
-            arrival.session,
+        tracker.on_read(
+            arrival.session_number,
             arrival.set,
             arrival.now,
-            arrival.objective_left,
+            arrival.objective_remaining,
             verified,
             arrival.replicated_position,
         )
@@ -195,9 +195,9 @@
     /// Takes note of a complete row: a write's position is unknown until the server has reported it.
     pub fn on_row_complete(&self, session: &RequestSession, now: Ticks) {
         if session.write {
-            self.book
+            self.tracker
                 .borrow_mut()
-                .on_write_uncertain(session.session, now);
+                .on_write_uncertain(session.number, now);
         }
     }
 
@@ -212,9 +212,12 @@
             return true;
         };
         let Some(report) = report else { return false };
-        self.book
-            .borrow_mut()
-            .satisfies(now, report.primary, report.position, requirement.position)
+        self.tracker.borrow_mut().satisfies(
+            now,
+            report.primary,
+            report.position,
+            requirement.position,
+        )
     }
 
     /// Returns the session token of a write that was answered at the reported position.
@@ -228,7 +231,7 @@
             .write
             .then(|| {
                 SessionToken {
-                    session: session.session,
+                    session: session.number,
                     position,
                 }
                 .sign(&self.keys)
@@ -250,8 +253,8 @@
             self.on_read_finished(session, now, outcome, report);
         }
         let persister = self.persister.borrow();
-        let mut book = self.book.borrow_mut();
-        let mut records = book.drain_positions();
+        let mut tracker = self.tracker.borrow_mut();
+        let mut records = tracker.drain_positions();
         if let Some(persist) = &*persister {
             persist(&mut records);
         }
@@ -264,12 +267,12 @@
         outcome: AttemptOutcome,
         report: Option<ServerReport>,
     ) {
-        let mut book = self.book.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         if outcome == AttemptOutcome::Answered {
             let position = report.and_then(|report| report.position);
-            book.on_write_answered(session.session, now, position);
+            tracker.on_write_answered(session.number, now, position);
         } else if !outcome.never_executed() {
-            book.on_write_uncertain(session.session, now);
+            tracker.on_write_uncertain(session.number, now);
         }
     }
 
@@ -287,27 +290,27 @@
             .is_some_and(|requirement| !requirement.exact);
         if (answered || outcome == AttemptOutcome::NotCaughtUp) && at_replica && estimated {
             let elapsed = now - session.arrived_at;
-            let mut book = self.book.borrow_mut();
-            book.on_replica_read(session.set, now, elapsed, answered);
+            let mut tracker = self.tracker.borrow_mut();
+            tracker.on_replica_read(session.set, now, elapsed, answered);
         }
     }
 
     /// Returns the counters as one line of name=count.
     pub fn summary(&self) -> String {
-        let book = self.book.borrow();
-        let c = book.counts;
+        let tracker = self.tracker.borrow();
+        let counts = tracker.counts;
         format!(
             "sessions.known={} sessions.bytes={} reads.exact={} reads.instant={} reads.carried={} reads.asked={} \
              tokens.refused={} sessions.let_go={} epochs={}",
-            book.sessions(),
-            book.bytes(),
-            c.exact,
-            c.instant,
-            c.carried,
-            c.asked,
-            c.refused_tokens,
-            c.evicted,
-            c.epochs
+            tracker.sessions(),
+            tracker.bytes(),
+            counts.exact,
+            counts.instant,
+            counts.carried,
+            counts.asked,
+            counts.refused_tokens,
+            counts.evicted,
+            counts.epochs
         )
     }
 }
