--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -19,7 +19,8 @@
 ///
 /// Implementations must not call the engine before their method returns.
 pub trait AttemptExecutor {
-    /// Starts an attempt without waiting for it. Its outcome is reported through [`Attempt::finish`], or when it is dropped.
+    /// Starts an attempt without waiting for it. Its outcome is reported through [`Attempt::finish`], or when it is
+    /// dropped.
     fn execute(self: Rc<Self>, attempt: Attempt);
     /// Closes the idle connections to a server that is draining or gone, or has moved or restarted.
     fn close_idle_connections(&self, server: usize);
@@ -173,8 +174,8 @@
         self.deliver(row);
     }
 
-    /// Handles the server's complete report after a row: delivers a row that was held back if it is recent enough for its
-    /// session, and returns the outcome of the attempt.
+    /// Handles the server's complete report after a row: delivers a row that was held back if it is recent enough for
+    /// its session, and returns the outcome of the attempt.
     #[must_use]
     pub fn on_report_complete(&self, reported: ReportedParameters) -> AttemptOutcome {
         let Some(mut row) = self.held_row.take() else {
@@ -194,8 +195,8 @@
         AttemptOutcome::Answered
     }
 
-    /// Handles a report that will never come: a write's row is delivered nevertheless, while that of a read is dropped, as
-    /// its position is unknown.
+    /// Handles a report that will never come: a write's row is delivered nevertheless, while that of a read is dropped,
+    /// as its position is unknown.
     pub fn on_report_missing(&self) {
         if self.session.is_some_and(|session| session.write)
             && let Some(row) = self.held_row.take()
@@ -225,9 +226,9 @@
         self.delivered_at.get().is_some()
     }
 
-    /// Whether the attempt may still start, to be checked right before its first byte is sent: its request is open and the
-    /// client connected, the server's listing is unchanged, the endpoint list's lease is valid, and `start_by` has not
-    /// passed.
+    /// Whether the attempt may still start, to be checked right before its first byte is sent: its request is open and
+    /// the client connected, the server's listing is unchanged, the endpoint list's lease is valid, and `start_by` has
+    /// not passed.
     pub fn may_start(&self) -> bool {
         !self.request_finished.is_set()
             && now() <= self.start_by
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -144,14 +144,15 @@
         replicated_state.finish_write(ticket, outcome);
     }
 
-    /// Returns the outcome of a write that may have been executed, with a position that covers all its effects up to now.
+    /// Returns the outcome of a write that may have been executed, with a position that covers all its effects up to
+    /// now.
     fn possibly_executed(&self, now: Ticks) -> WriteOutcome {
         let sessions = self.session_consistency.as_ref();
         WriteOutcome::PossiblyExecuted(sessions.map_or(now, |sessions| sessions.position_at(now)))
     }
 
-    /// Reports the outcome of a write to its replica holders before its row is delivered, so that they learn of it before
-    /// the client does.
+    /// Reports the outcome of a write to its replica holders before its row is delivered, so that they learn of it
+    /// before the client does.
     pub(crate) fn on_write_answered(&self, kind: AttemptKind, report: Option<ServerReport>) {
         let AttemptKind::Request { request, .. } = kind else {
             return;
@@ -165,8 +166,9 @@
         self.finish_write(ticket, self.clock.now(), report);
     }
 
-    /// Validates what a server has reported of itself. `commit` tells that it was reported after the row of a write: its
-    /// position is then rounded up rather than down. Implausible positions are dropped, and so is a report without a role.
+    /// Validates what a server has reported of itself. `commit` tells that it was reported after the row of a write:
+    /// its position is then rounded up rather than down. Implausible positions are dropped, and so is a report without
+    /// a role.
     pub(crate) fn server_report(
         &self,
         reported: Option<ReportedParameters>,
--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -1,7 +1,7 @@
-//! Connections of clients as backpressure sees them: reports what the sockets show and evicts the slow ones.
+//! Client connections under backpressure: reports their progress to `leverpoint-backpressure` and evicts slow ones.
 //!
-//! Buffers for messages that are longer than a ring buffer takes by itself are reserved here as well. Which connection
-//! counts as slow is decided in the backpressure package.
+//! Buffers for messages that exceed `UNRESERVED_BYTES` are reserved here as well. Which connections count as slow is
+//! decided by `leverpoint-backpressure`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -20,55 +20,57 @@
 pub use crate::buffer_reservation::BufferReservation;
 use crate::log_line_limiter::LogLineLimiter;
 
-/// How often connections with unacknowledged bytes are checked: several times in the shortest grace.
+/// How often connections with unacknowledged bytes are checked: several times within the shortest grace period.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// All connections of clients.
+/// All client connections with their shared buffer limits.
 pub struct ClientConnections {
     backpressure: RefCell<Backpressure>,
+    /// Origin of the times passed to backpressure.
     started: Instant,
-    /// By the index under which backpressure knows them.
+    /// Connections by the index that backpressure uses for them.
     by_index: RefCell<Vec<Weak<ClientConnection>>>,
-    /// Notified when buffers of a kind are released.
+    /// Notified when buffers are released, by [`BufferKind`].
     released: [Notify; 2],
     /// Notified when a connection has unacknowledged bytes.
     unacknowledged: Notify,
     arrivals: Cell<ArrivalRateLimiter>,
-    /// The most bytes that were held at once, those in the kernel among them.
-    held_peak: Cell<usize>,
-    eviction_lines: LogLineLimiter,
+    /// Most bytes ever buffered at once, including those in kernel buffers.
+    peak_held_bytes: Cell<usize>,
+    eviction_log_limiter: LogLineLimiter,
     log: slog::Logger,
 }
 
-/// What has come of the search for a slow connection to evict.
+/// Result of the search for a slow connection to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SlowEviction {
     /// A slow connection was evicted.
     Evicted,
-    /// No connection is slow enough; any idle one may be evicted.
+    /// No connection is slow enough; any idle connection may be evicted.
     IdleInstead,
-    /// No connection is slow enough; only an idle one that has not proved itself may be evicted.
+    /// No connection is slow enough; only an idle connection that is not proven may be evicted.
     UnprovenInstead,
 }
 
-/// One client's connection.
+/// A client connection, registered with backpressure until dropped.
 pub struct ClientConnection {
     connections: Rc<ClientConnections>,
     id: usize,
-    /// Gone once the connection is, and for a client without one.
+    /// Does not keep the connection open. Empty for a client without one, as in tests.
     stream: WeakStream,
-    /// Bytes handed over to be written, in total.
+    /// Total bytes queued for writing.
     bytes_queued: Cell<usize>,
-    /// Bytes that the kernel has taken, in total.
+    /// Total bytes that the kernel has accepted.
     pub bytes_written: Cell<usize>,
-    /// Reserved bytes of answers that are written but not acknowledged.
+    /// Reserved bytes of answers that are written but not acknowledged by the client.
     held_bytes: Cell<usize>,
     evicted: Cell<bool>,
     eviction_notice: Notify,
 }
 
 impl ClientConnections {
-    /// Makes the table of connections for so many request classes and tenants.
+    /// Creates an empty table. `classes` and `tenants` are the numbers of request classes and tenants; `seed` varies
+    /// the advice on when to retry.
     pub fn new(
         limits: Limits,
         classes: usize,
@@ -89,8 +91,8 @@
             released: Default::default(),
             unacknowledged: Notify::new(),
             arrivals: Cell::default(),
-            held_peak: Cell::new(0),
-            eviction_lines: LogLineLimiter::default(),
+            peak_held_bytes: Cell::new(0),
+            eviction_log_limiter: LogLineLimiter::default(),
             log,
         })
     }
@@ -100,12 +102,13 @@
         *self.backpressure.borrow().limits()
     }
 
-    /// Replaces the limits at once.
+    /// Replaces the limits with immediate effect. Buffers that exceed the new limits stay reserved until released.
     pub fn set_limits(&self, limits: Limits) {
         self.backpressure.borrow_mut().set_limits(limits);
         self.released.iter().for_each(Notify::notify_waiters);
     }
 
+    /// Converts an instant to ticks since the creation of this table.
     fn time(&self, at: Instant) -> Ticks {
         duration_to_ticks(at.saturating_duration_since(self.started))
     }
@@ -114,7 +117,7 @@
         self.time(now())
     }
 
-    /// Registers a client's connection.
+    /// Registers a client connection, which is deregistered when the returned value is dropped.
     pub fn register(self: &Rc<Self>, stream: WeakStream) -> Rc<ClientConnection> {
         let id = self.backpressure.borrow_mut().open();
         let client = Rc::new(ClientConnection {
@@ -139,15 +142,15 @@
         self.by_index.borrow().get(id)?.upgrade()
     }
 
-    /// Takes note of an accepted connection, and returns how long to wait before the next; `late` is by how much the last
-    /// wait was exceeded.
+    /// Records an accepted connection and returns how long to wait before the next is accepted. `late` is how much
+    /// longer than returned the previous wait took.
     pub fn accept_delay(&self, late: Duration) -> Duration {
-        let caps = self.limits();
+        let limits = self.limits();
         let mut arrivals = self.arrivals.get();
-        let wait = if caps.enabled {
+        let wait = if limits.enabled {
             arrivals.on_accepted(
                 self.now(),
-                caps.arrivals_per_second,
+                limits.arrivals_per_second,
                 duration_to_ticks(late),
             )
         } else {
@@ -157,13 +160,13 @@
         ticks_to_duration(wait)
     }
 
-    /// Evicts a slow connection to make room for another, or says which idle one may be evicted instead.
+    /// Evicts a slow connection if there is one; otherwise returns which idle ones may be evicted instead.
     pub(crate) fn evict_one(&self) -> SlowEviction {
-        let asked = self.backpressure.borrow_mut().eviction_candidate();
-        match asked {
+        let candidate = self.backpressure.borrow_mut().eviction_candidate();
+        match candidate {
             EvictionCandidate::Connection(id) => {
                 self.client(id)
-                    .inspect(|client| client.evict("room is short"));
+                    .inspect(|client| client.evict("out of connection capacity"));
                 SlowEviction::Evicted
             }
             EvictionCandidate::LongestIdle => SlowEviction::IdleInstead,
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Checks the connections with unacknowledged bytes, for as long as the gateway runs.
+    /// Checks the connections with unacknowledged bytes periodically; never returns.
     pub async fn monitor(self: Rc<Self>) {
         loop {
             while self.backpressure.borrow().waiting().is_empty() {
@@ -179,35 +182,37 @@
             }
             sleep(CHECK_INTERVAL).await;
             let waiting = self.backpressure.borrow().waiting().to_vec();
-            let mut held = self.held();
+            let mut held_bytes = self.pool_bytes();
             for client in waiting.into_iter().filter_map(|id| self.client(id)) {
-                let untaken = client.unacknowledged_bytes();
-                held += untaken.saturating_sub(client.held_bytes.get());
-                client.on_unacknowledged(untaken);
+                let unacknowledged = client.unacknowledged_bytes();
+                held_bytes += unacknowledged.saturating_sub(client.held_bytes.get());
+                client.on_unacknowledged(unacknowledged);
             }
-            self.held_peak.set(self.held_peak.get().max(held));
+            self.peak_held_bytes
+                .set(self.peak_held_bytes.get().max(held_bytes));
         }
     }
 
-    fn held(&self) -> usize {
+    /// Returns the bytes held in both buffer pools.
+    fn pool_bytes(&self) -> usize {
         let backpressure = self.backpressure.borrow();
         backpressure.pool(BufferKind::Request).held()
             + backpressure.pool(BufferKind::Response).held()
     }
 
-    /// Returns the counters of connections as one line of name=count.
+    /// Returns the counters of connections and buffers as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let backpressure = self.backpressure.borrow();
-        let [new, usual, slow, stalled] = backpressure.counts();
-        let (let_go, sent_back) = backpressure.totals();
+        let [unproven, proven, slow, stalled] = backpressure.counts();
+        let (evicted, shed) = backpressure.totals();
         let pools = [BufferKind::Request, BufferKind::Response].map(|kind| backpressure.pool(kind));
         let peak = self
-            .held_peak
+            .peak_held_bytes
             .get()
             .max(pools[0].peak().max(pools[1].peak()));
         format!(
-            "peers.new={new} peers.usual={usual} peers.slow={slow} peers.stalled={stalled} peers.untaken={} \
-             peers.let_go={let_go} peers.sent_back={sent_back} held.statements={} held.answers={} \
+            "peers.new={unproven} peers.usual={proven} peers.slow={slow} peers.stalled={stalled} peers.untaken={} \
+             peers.let_go={evicted} peers.sent_back={shed} held.statements={} held.answers={} \
              held.promised={} held.peak={peak}",
             backpressure.waiting().len(),
             pools[0].held(),
@@ -216,21 +221,22 @@
         )
     }
 
-    /// Logs an eviction, as far as the number of lines in a second allows.
-    fn log_eviction(&self, client: &ClientConnection, why: &str) {
+    /// Logs an eviction, unless too many were logged in the same second.
+    fn log_eviction(&self, client: &ClientConnection, reason: &str) {
         let now = self.now();
-        let Some(left_out) = self.eviction_lines.admit(now) else {
+        let Some(suppressed) = self.eviction_log_limiter.admit(now) else {
             return;
         };
         let (rate, held, age) = self.backpressure.borrow().metrics(now, client.id);
         let state = self.backpressure.borrow().state(client.id);
-        slog::info!(self.log, "client connection evicted"; "why" => why, "state" => format!("{state:?}"), "bytes_per_s" => rate,
-            "held_bytes" => held, "age_ms" => age / 10, "left_out" => left_out);
+        slog::info!(self.log, "client connection evicted"; "why" => reason, "state" => format!("{state:?}"), "bytes_per_s" => rate,
+            "held_bytes" => held, "age_ms" => age / 10, "left_out" => suppressed);
     }
 }
 
 impl ClientConnection {
-    /// Whether the connection is known to have ended, though not all that came before may have been read.
+    /// Whether the client is known to have closed or reset the connection. Data received before that may still be
+    /// unread.
     pub fn is_disconnected(&self) -> bool {
         self.stream.ended()
     }
@@ -240,7 +246,7 @@
         self.connections.limits()
     }
 
-    /// Reserves buffer bytes; waits until so many are free, the caller bounds the wait.
+    /// Reserves buffer bytes. Waits until enough are free, without a limit; callers apply a timeout.
     pub async fn reserve(self: &Rc<Self>, kind: BufferKind, bytes: usize) -> BufferReservation {
         loop {
             let released = self.connections.released[kind as usize].notified();
@@ -266,11 +272,11 @@
         }
     }
 
-    /// Admits the client's next request.
+    /// Admits the client's next request and reserves capacity for its answer, which is due until `answer_deadline`.
     ///
     /// # Errors
     ///
-    /// Returns the time to wait before a retry where there is no capacity for its answer.
+    /// Returns the time to wait before a retry if there is no capacity for the answer.
     pub fn admit(
         &self,
         class: usize,
@@ -290,17 +296,18 @@
         }
     }
 
-    /// Takes note that an answer is about to be written, which is owed until then; `class` where it is a row.
-    pub fn on_answer_started(&self, class: Option<usize>, bytes: usize, owed_until: Instant) {
+    /// Records that an answer of `bytes` is about to be written, which is due until `due_until`. `class` is the request
+    /// class if the answer contains a row.
+    pub fn on_answer_started(&self, class: Option<usize>, bytes: usize, due_until: Instant) {
         self.bytes_queued.set(self.bytes_queued.get() + bytes);
-        let owed_until = self.connections.time(owed_until);
+        let due_until = self.connections.time(due_until);
         self.connections
             .backpressure
             .borrow_mut()
-            .on_response_started(self.connections.now(), self.id, class, bytes, owed_until);
+            .on_response_started(self.connections.now(), self.id, class, bytes, due_until);
     }
 
-    /// Takes note that an answer is written; its buffers stay reserved until the client has acknowledged it.
+    /// Records that an answer is written. Its buffers stay reserved until the client has acknowledged it.
     pub fn on_answer_written(&self, reservations: Vec<BufferReservation>) {
         let reservations = reservations.into_iter();
         let bytes: usize = reservations.map(BufferReservation::into_bytes).sum();
@@ -308,25 +315,27 @@
         self.on_unacknowledged(self.unacknowledged_bytes());
     }
 
-    /// Takes note of a message, with which the client may have acknowledged the last answer.
+    /// Handles a message: the client may have acknowledged the previous answer along with it.
     pub fn on_message(&self) {
         if self.connections.backpressure.borrow().unread(self.id) > 0 {
             self.on_unacknowledged(self.unacknowledged_bytes());
         }
     }
 
-    /// Takes note that an answer could not be written at once.
+    /// Records that an answer could not be written at once.
     pub fn on_write_pending(&self) {
         self.on_unacknowledged(self.unacknowledged_bytes());
     }
 
-    fn on_unacknowledged(&self, untaken: usize) {
+    /// Reports to backpressure how many bytes are unacknowledged; releases buffers or evicts the connection
+    /// accordingly.
+    fn on_unacknowledged(&self, unacknowledged: usize) {
         let effect = self
             .connections
             .backpressure
             .borrow_mut()
-            .on_response_progress(self.connections.now(), self.id, untaken);
-        if untaken == 0 {
+            .on_response_progress(self.connections.now(), self.id, unacknowledged);
+        if unacknowledged == 0 {
             self.release(BufferKind::Response, self.held_bytes.take());
         } else {
             self.connections.unacknowledged.notify_one();
@@ -336,13 +345,13 @@
         }
     }
 
-    /// Number of bytes not yet written, or in the kernel and not acknowledged.
+    /// Returns the number of bytes that are not written yet, or are in the kernel's send buffer and not acknowledged.
     pub fn unacknowledged_bytes(&self) -> usize {
         let unsent = self.bytes_queued.get() - self.bytes_written.get();
         unsent + self.stream.unacknowledged()
     }
 
-    /// Takes note of received bytes of an incomplete message.
+    /// Records that bytes of an incomplete message were received.
     pub fn on_bytes_received(&self, bytes: usize) {
         self.connections
             .backpressure
@@ -350,7 +359,7 @@
             .came(self.connections.now(), self.id, bytes);
     }
 
-    /// Takes note that a message which came in parts is complete.
+    /// Records that a message received in several parts is complete.
     pub fn on_message_complete(&self) {
         self.connections
             .backpressure
@@ -358,7 +367,7 @@
             .on_message_complete(self.id);
     }
 
-    /// Excludes a time from the client's rate, in which it was not read.
+    /// Excludes a time during which the gateway did not read from the client's measured rate.
     pub fn exclude_wait(&self, waited: Duration) {
         self.connections
             .backpressure
@@ -366,7 +375,8 @@
             .excuse(self.id, duration_to_ticks(waited));
     }
 
-    /// Returns when an incomplete message is to be checked again; none where the client is too slow to complete it.
+    /// Checks the rate of an incomplete message. Returns when to check it again; none if the client is too slow and is
+    /// to be disconnected.
     pub fn on_partial_message(&self) -> Option<Instant> {
         let next = self
             .connections
@@ -374,24 +384,26 @@
             .borrow_mut()
             .incomplete_message_deadline(self.connections.now(), self.id);
         if next.is_none() {
-            self.connections.log_eviction(self, "half a message");
+            self.connections
+                .log_eviction(self, "incomplete message too slow");
         }
         next.map(|at| self.connections.started + ticks_to_duration(at))
     }
 
-    fn evict(&self, why: &str) {
+    /// Notifies the connection's task that it is to close the connection.
+    fn evict(&self, reason: &str) {
         if !self.evicted.replace(true) {
-            self.connections.log_eviction(self, why);
+            self.connections.log_eviction(self, reason);
             self.eviction_notice.notify_one();
         }
     }
 
-    /// Whether the client has proved that it reads its answers.
+    /// Whether backpressure has proof that the client reads its answers.
     pub fn is_proven(&self) -> bool {
         self.connections.backpressure.borrow().state(self.id) == ConnectionState::Proven
     }
 
-    /// Whether the connection is evicted.
+    /// Whether the connection was evicted.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
--- a/crates/engine/src/descriptor_budget.rs
+++ b/crates/engine/src/descriptor_budget.rs
@@ -9,17 +9,18 @@
 pub use crate::eviction::{ClientActivity, ConnectionEviction};
 
 /// Descriptors used for anything but client and server connections: three standard streams, two that the parent process
-/// may leave open, five of the runtime and its signal handling, the listening socket, a connection that is accepted but has
-/// no permit yet, and three calls to discovery. These are fifteen; one more is spare.
+/// may leave open, five of the runtime and its signal handling, the listening socket, a connection that is accepted but
+/// has no permit yet, and three calls to discovery. These are fifteen; one more is spare.
 const OTHER_DESCRIPTORS: usize = 16;
 
 /// Limits the descriptors held by client and server connections together.
 ///
-/// Each side is entitled to half. Server connections may use descriptors that clients leave free; when clients need them,
-/// idle server connections are closed. Once clients have used their half, a new client is admitted only by evicting another
-/// one. The kernel has already accepted the connection of a client beyond that, and may hold its request, so the request is
-/// read and shed rather than left waiting. A sixteenth of the descriptors is reserved for such clients, each of which holds
-/// its descriptor only until it has closed its connection. When the reserve is used up, accepting pauses.
+/// Each side is entitled to half. Server connections may use descriptors that clients leave free; when clients need
+/// them, idle server connections are closed. Once clients have used their half, a new client is admitted only by
+/// evicting another one. The kernel has already accepted the connection of a client beyond that, and may hold its
+/// request, so the request is read and shed rather than left waiting. A sixteenth of the descriptors is reserved for
+/// such clients, each of which holds its descriptor only until it has closed its connection. When the reserve is used
+/// up, accepting pauses.
 pub struct DescriptorBudget {
     free: Cell<usize>,
     /// Descriptors held by client connections.
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Acquires a descriptor for a client, and returns whether the client is admitted; otherwise its request is to be shed.
+    /// Acquires a descriptor for a client, and returns whether the client is admitted; otherwise its request is to be
+    /// shed.
     pub async fn acquire_for_client(self: &Rc<Self>) -> (DescriptorPermit, bool) {
         loop {
             let freed = self.freed.notified();
--- a/crates/engine/src/discovery.rs
+++ b/crates/engine/src/discovery.rs
@@ -74,8 +74,8 @@
         self.endpoints.wait_answered().await;
     }
 
-    /// Returns the time since discovery last confirmed the list, none if it never did, and the time until the list's lease
-    /// expires, none if it does not expire.
+    /// Returns the time since discovery last confirmed the list, none if it never did, and the time until the list's
+    /// lease expires, none if it does not expire.
     pub fn endpoint_list_age(&self) -> (Option<Duration>, Option<Duration>) {
         let lease_end = self.router.borrow().lease().expires_at();
         let left = lease_end.map(|end| ticks_to_duration((end - self.clock.now()).max(0)));
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -81,8 +81,8 @@
 }
 
 impl EndpointTable {
-    /// Records one entry and converts it to the router's type. Adds the server to `replaced` where its connections are to be
-    /// replaced.
+    /// Records one entry and converts it to the router's type. Adds the server to `replaced` where its connections are
+    /// to be replaced.
     fn record(
         &mut self,
         entry: &EndpointEntry,
@@ -211,8 +211,8 @@
         self.table.borrow().records.get(server)?.address
     }
 
-    /// Returns how often a server has been replaced; none for an unknown server. A changed number means that connections
-    /// and decisions made before are obsolete.
+    /// Returns how often a server has been replaced; none for an unknown server. A changed number means that
+    /// connections and decisions made before are obsolete.
     pub(crate) fn replacements(&self, server: usize) -> Option<u64> {
         Some(self.table.borrow().records.get(server)?.replacements)
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -187,8 +187,8 @@
         self.collaborators.replicated_state.borrow().clone()
     }
 
-    /// Ends all requests at `deadline`: requests that are still open then are shed or failed, and later ones are shed on
-    /// arrival. Requests that can't be answered by the deadline are no longer sent to a server.
+    /// Ends all requests at `deadline`: requests that are still open then are shed or failed, and later ones are shed
+    /// on arrival. Requests that can't be answered by the deadline are no longer sent to a server.
     pub async fn end_requests_at(self: &Rc<Self>, deadline: Instant) {
         self.dispatch(EngineEvent::ShutdownScheduled(self.clock.at(deadline)));
         sleep_until(deadline).await;
--- a/crates/engine/src/eviction.rs
+++ b/crates/engine/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Choice of the client connections that are asked to leave, where descriptors are short or the gateway shuts down.
+//! Selects the client connections to evict when descriptors run short or the gateway shuts down.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,52 +9,64 @@
 
 use crate::client_connections::{ClientConnections, SlowEviction};
 
-/// What a client connection has done so far.
+/// Progress of a client connection, which decides how early it is evicted.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ClientActivity {
-    /// It was accepted and nothing more.
+    /// It was accepted, but its startup packet has not been received.
     Connected,
-    /// Its startup packet was received and nothing more.
+    /// Its startup packet was received, but no complete message.
     StartupReceived,
     /// At least one complete message was received.
     MessageReceived,
-    /// It has proved that it reads its answers.
+    /// It has read enough of its answers to count as proven, see [`ClientConnection::is_proven`].
+    ///
+    /// [`ClientConnection::is_proven`]: crate::client_connections::ClientConnection::is_proven
     Proven,
 }
 
-/// Evicts client connections that have no request open: all of them, or one.
+/// Evicts client connections without an open request, either all of them or one at a time.
 ///
-/// Connections that have sent no message go first, then slow ones, then those that have not proved themselves, at last
-/// those that have; of each kind the one that has been idle longest.
+/// Connections that have sent no message are evicted first, then slow ones, then unproven ones and finally proven ones.
+/// Among connections of the same kind the one that has been idle longest comes first.
 pub struct ConnectionEviction {
-    all: Cell<bool>,
-    silent: Waiting,
-    idle: Waiting,
-    proven: Waiting,
+    evicting_all: Cell<bool>,
+    /// Connections without a message.
+    silent: EvictionQueue,
+    /// Idle connections that are not proven.
+    unproven: EvictionQueue,
+    /// Idle connections that are proven.
+    proven: EvictionQueue,
     connections: Rc<ClientConnections>,
-    /// Connections that may stay, idle ones and those with a request open.
+    /// Largest number of connections, idle ones and those with an open request.
     max_connections: usize,
 }
 
-/// Connections that may be evicted, by since when they are idle and then in their order.
+/// Connections that may be evicted, ordered by when they became idle and then by a sequence number.
 #[derive(Default)]
-struct Waiting {
+struct EvictionQueue {
     queue: RefCell<BTreeMap<(Instant, u64), Rc<Notify>>>,
-    next: Cell<u64>,
+    next_sequence: Cell<u64>,
 }
 
-/// An entry of the queue; removed when dropped.
-struct Queued<'a>(&'a Waiting, (Instant, u64));
+/// An entry of an eviction queue; removed when dropped.
+struct QueueEntry<'a>(&'a EvictionQueue, (Instant, u64));
 
-impl Drop for Queued<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         self.0.queue.borrow_mut().remove(&self.1);
     }
 }
 
-impl Waiting {
+impl EvictionQueue {
+    /// Waits until the entry that this call adds is evicted.
     async fn evicted(&self, since: Instant) {
-        let entry = Queued(self, (since, self.next.replace(self.next.get() + 1)));
+        let entry = QueueEntry(
+            self,
+            (
+                since,
+                self.next_sequence.replace(self.next_sequence.get() + 1),
+            ),
+        );
         let notice = Rc::new(Notify::new());
         self.queue.borrow_mut().insert(entry.1, notice.clone());
         notice.notified().await;
@@ -64,7 +76,7 @@
         self.queue.borrow().len()
     }
 
-    /// Evicts the first; returns whether there was one.
+    /// Evicts the connection that has been idle longest; returns whether there was one.
     fn evict_first(&self) -> bool {
         self.queue
             .borrow_mut()
@@ -75,59 +87,61 @@
 }
 
 impl ConnectionEviction {
-    /// Makes an eviction that lets clients hold a sixth of the descriptors.
+    /// Creates an eviction that keeps the connections below a sixth of `descriptors`.
     ///
-    /// The platform allows clients a third. Half of that is left for new ones, as idle connections would otherwise
-    /// keep all others out.
-    pub fn new(sockets: usize, connections: Rc<ClientConnections>) -> Rc<Self> {
-        let [silent, idle, proven] = Default::default();
+    /// Clients may use a third of the descriptors on this platform. Half of that is kept free for new connections,
+    /// which idle ones would otherwise block.
+    pub fn new(descriptors: usize, connections: Rc<ClientConnections>) -> Rc<Self> {
+        let [silent, unproven, proven] = Default::default();
         Rc::new(ConnectionEviction {
-            all: Cell::new(false),
+            evicting_all: Cell::new(false),
             silent,
-            idle,
+            unproven,
             proven,
             connections,
-            max_connections: sockets / 6,
+            max_connections: descriptors / 6,
         })
     }
 
-    /// Takes note that a connection becomes idle; evicts the longest idle if there are too many with the `open` ones.
-    pub fn on_idle(&self, open: usize) {
-        if self.idle.len() + self.proven.len() + open >= self.max_connections {
+    /// Handles a connection that becomes idle: evicts one if there are too many. `open_requests` counts the connections
+    /// with an open request, which may not be evicted.
+    pub fn on_idle(&self, open_requests: usize) {
+        if self.unproven.len() + self.proven.len() + open_requests >= self.max_connections {
             self.evict_slow_or_idle();
         }
     }
 
-    /// Waits until a connection that has been idle `since` then is evicted.
+    /// Waits until the connection that calls this is evicted; it has been idle `since` then. Dropping the future keeps
+    /// the connection from being evicted.
     pub async fn requested(&self, activity: ClientActivity, since: Instant) {
-        let waiting = match activity {
+        let queue = match activity {
             ClientActivity::Connected | ClientActivity::StartupReceived => &self.silent,
-            ClientActivity::MessageReceived => &self.idle,
+            ClientActivity::MessageReceived => &self.unproven,
             ClientActivity::Proven => &self.proven,
         };
-        while !self.all.get() {
-            waiting.evicted(since).await;
-            if !self.all.get() {
+        while !self.evicting_all.get() {
+            queue.evicted(since).await;
+            if !self.evicting_all.get() {
                 return;
             }
         }
         if activity == ClientActivity::Connected {
-            // Its first request may be on its way; it has little time to come.
+            // The first request may be in flight. The timeout of the startup packet bounds the wait for it.
             std::future::pending().await
         }
     }
 
-    /// Evicts all connections, those that become idle later as well.
+    /// Evicts all connections, including those that become idle later.
     pub fn evict_all(&self) {
-        self.all.set(true);
-        for waiting in [&self.silent, &self.idle, &self.proven] {
-            while waiting.evict_first() {}
+        self.evicting_all.set(true);
+        for queue in [&self.silent, &self.unproven, &self.proven] {
+            while queue.evict_first() {}
         }
     }
 
-    /// Whether all connections are evicted.
+    /// Whether [`Self::evict_all`] was called.
     pub fn is_evicting_all(&self) -> bool {
-        self.all.get()
+        self.evicting_all.get()
     }
 
     /// Evicts one connection; returns whether there was one.
@@ -135,12 +149,12 @@
         self.silent.evict_first() || self.evict_slow_or_idle()
     }
 
-    /// Evicts a slow connection before any idle one; no proven one is evicted while many are slow.
+    /// Evicts a slow connection if there is one, else the idle one that [`ClientConnections`] permits.
     fn evict_slow_or_idle(&self) -> bool {
         match self.connections.evict_one() {
             SlowEviction::Evicted => true,
-            SlowEviction::IdleInstead => self.idle.evict_first() || self.proven.evict_first(),
-            SlowEviction::UnprovenInstead => self.idle.evict_first(),
+            SlowEviction::IdleInstead => self.unproven.evict_first() || self.proven.evict_first(),
+            SlowEviction::UnprovenInstead => self.unproven.evict_first(),
         }
     }
 }
--- a/crates/engine/src/intake.rs
+++ b/crates/engine/src/intake.rs
@@ -1,4 +1,4 @@
-//! Acceptance of requests: validation, admission and what the router is told of a request.
+//! Intake of client requests: validation, admission and conversion to the router's request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 const INVALID_PARAMETER: &str = "22023";
 const DUPLICATE_OBJECT: &str = "42710";
 
-/// What a request's names stand for.
+/// Indices of the request class, tenant and replica set that a request names.
 struct ResolvedNames {
     class: usize,
     tenant: usize,
@@ -74,12 +74,12 @@
 }
 
 impl Engine {
-    /// Accepts a request that a client has sent whole, whose last byte came at `received`: from then on its client
-    /// waits, also where the request has stood behind others.
+    /// Accepts a complete request. Its timeout counts from `received`, when its last byte arrived, so that time queued
+    /// behind other requests of the connection is included.
     ///
     /// # Errors
     ///
-    /// Rejects a request that names what is not known or does not fit, and one that is shed.
+    /// Returns a rejection if the request is invalid, names an unknown class, tenant or replica set, or is shed.
     pub fn on_request(
         self: &Rc<Self>,
         header: &RequestHeader<'_>,
@@ -117,7 +117,7 @@
         Ok(pending)
     }
 
-    /// Resolves a request's names and checks that the request fits its class.
+    /// Resolves the names in a request, and checks that the statement fits the class and that the id is not in use.
     fn resolve(&self, header: &RequestHeader<'_>) -> Result<ResolvedNames, Rejection> {
         let class = index_of(&self.settings.classes, header.class)
             .ok_or_else(|| unknown_name("c", header.class))?;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Sheds a request for whose answer there is no capacity, and any once the gateway shuts down.
+    /// Sheds a request if there is no buffer capacity for its answer, and every request during shutdown.
     fn admit(
         &self,
         resolved: &ResolvedNames,
@@ -180,7 +180,7 @@
         Err(Rejection::Shed(retry_after_ms, answer_deadline))
     }
 
-    /// The part of a retry wait that clients may be told; 0 where they are told none.
+    /// Limits advice on when to retry to what the settings permit; 0 stands for no advice.
     pub(crate) fn allowed_retry_after(&self, retry_after: Ticks) -> Ticks {
         let permissions = &self.settings.routing.permissions;
         if permissions.retry_after {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Registers the request's id and session, and returns what the router is told of it.
+    /// Registers the request's id and session, and returns the request in the router's form.
     fn routing_request(
         &self,
         header: &RequestHeader<'_>,
@@ -208,7 +208,7 @@
             }
             _ => None,
         };
-        // A client's own statement counts where the settings have it carry its position.
+        // A position stated by the client counts only if the settings leave it to clients to carry their position.
         let client_carries_position =
             self.settings.routing.position_keeper == PositionKeeper::Client;
         let required_position = match header.required_position {
@@ -231,6 +231,7 @@
         }
     }
 
+    /// Assembles a request with the data that its preparation needs.
     fn preparing_request(
         &self,
         header: &RequestHeader<'_>,
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Sends a request its final answer, if it has none yet.
+    /// Sends the final answer of a request that was not routed, if it has none yet.
     pub(crate) fn answer_unrouted(&self, open: &mut OpenRequest, answer: FinalAnswer) {
         let Some(sender) = open.answer_sender.take() else {
             return;
--- a/crates/engine/src/latch.rs
+++ b/crates/engine/src/latch.rs
@@ -1,10 +1,10 @@
-//! A one-shot event that tasks can wait for.
+//! A flag that is set once and that tasks can wait for.
 
 use std::cell::Cell;
 
 use tokio::sync::Notify;
 
-/// An event that happens once.
+/// A flag that is set at most once and never cleared.
 #[derive(Default)]
 pub(crate) struct Latch {
     set: Cell<bool>,
@@ -12,6 +12,7 @@
 }
 
 impl Latch {
+    /// Sets the flag and wakes all waiting tasks; has no effect if it is set already.
     pub(crate) fn set(&self) {
         if !self.set.replace(true) {
             self.changed.notify_waiters();
@@ -22,6 +23,7 @@
         self.set.get()
     }
 
+    /// Waits until the flag is set; returns at once if it is.
     pub(crate) async fn wait(&self) {
         let changed = self.changed.notified();
         if !self.set.get() {
--- a/crates/engine/src/log_line_limiter.rs
+++ b/crates/engine/src/log_line_limiter.rs
@@ -1,4 +1,4 @@
-//! A limit on the number of log lines in a second.
+//! Limits the number of log lines per second.
 
 use std::cell::Cell;
 
@@ -8,35 +8,36 @@
 
 const TICKS_PER_SECOND: u64 = 10_000;
 
-/// How many lines were written in a second, and how many were left out since the last one.
+/// Lines written in the current second, and lines suppressed since the last one written.
 #[derive(Clone, Copy, Default)]
-struct Lines {
+struct LineCounts {
     second: u64,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
-/// Limits the log lines of one kind.
+/// Limits log lines of one kind to [`MAX_LINES_PER_SECOND`].
 #[derive(Default)]
-pub(crate) struct LogLineLimiter(Cell<Lines>);
+pub(crate) struct LogLineLimiter(Cell<LineCounts>);
 
 impl LogLineLimiter {
-    /// Returns how many lines were left out before this one; none where this one is to be left out as well.
+    /// Returns how many lines have been suppressed since the last one written; none if this one is to be suppressed
+    /// too.
     pub(crate) fn admit(&self, now: Ticks) -> Option<u32> {
-        let mut lines = self.0.get();
+        let mut counts = self.0.get();
         let second = now as u64 / TICKS_PER_SECOND;
-        if second != lines.second {
-            lines.second = second;
-            lines.written = 0;
+        if second != counts.second {
+            counts.second = second;
+            counts.written = 0;
         }
-        let left_out = if lines.written == MAX_LINES_PER_SECOND {
-            lines.left_out += 1;
+        let suppressed = if counts.written == MAX_LINES_PER_SECOND {
+            counts.suppressed += 1;
             None
         } else {
-            lines.written += 1;
-            Some(std::mem::take(&mut lines.left_out))
+            counts.written += 1;
+            Some(std::mem::take(&mut counts.suppressed))
         };
-        self.0.set(lines);
-        left_out
+        self.0.set(counts);
+        suppressed
     }
 }
--- a/crates/engine/src/metrics.rs
+++ b/crates/engine/src/metrics.rs
@@ -1,11 +1,12 @@
-//! Counters of what is received, sent and answered. They are only ever incremented and printed.
+//! Counters of requests, attempts, connections and calls to discovery. They are only incremented and printed.
 
 use std::cell::Cell;
 use std::fmt::Write;
 
 use leverpoint_routing::api::AttemptOutcome;
 
-/// Outcomes of attempts with the names of their counters, which operators' scripts know.
+/// Outcomes of attempts with the names of their counters. Operators' scripts match these names, so they don't follow
+/// renames of the variants.
 const OUTCOMES: [(AttemptOutcome, &str); 9] = [
     (AttemptOutcome::Answered, "Answered"),
     (AttemptOutcome::Error, "Error"),
@@ -18,66 +19,66 @@
     (AttemptOutcome::NotCaughtUp, "Missed"),
 ];
 
-type Count = Cell<u64>;
+type Counter = Cell<u64>;
 
-/// The gateway's counters.
+/// The gateway's counters since its start.
 #[derive(Default)]
 pub struct Metrics {
-    requests_by_class: Vec<(String, Count)>,
-    /// Requests answered with a server's row.
-    pub answered: Count,
-    /// Requests shed.
-    pub shed: Count,
-    /// Requests that no server has answered.
-    pub failed: Count,
-    disconnected: Count,
-    attempts: Count,
-    outcomes: [Count; OUTCOMES.len()],
+    requests_by_class: Vec<(String, Counter)>,
+    /// Requests answered with the row of a server.
+    pub answered: Counter,
+    /// Requests shed: answered with an error after which the client may retry.
+    pub shed: Counter,
+    /// Requests answered with an error, as no server answered them.
+    pub failed: Counter,
+    disconnected: Counter,
+    attempts: Counter,
+    outcomes: [Counter; OUTCOMES.len()],
     /// Connections of clients.
     pub clients: ConnectionMetrics,
     /// Connections to servers.
     pub servers: ConnectionMetrics,
     /// Endpoint lists received.
-    pub lists_received: Count,
+    pub lists_received: Counter,
     /// Calls for endpoint lists that failed.
-    pub list_failures: Count,
+    pub list_failures: Counter,
     /// Failed calls that discovery rejected.
-    pub list_refusals: Count,
-    /// Failed calls that discovery never answered.
-    pub list_timeouts: Count,
-    /// Messages of clients that were rejected.
-    pub rejected_messages: Count,
+    pub list_refusals: Counter,
+    /// Failed calls that discovery did not answer in time.
+    pub list_timeouts: Counter,
+    /// Client messages answered with an error, as they were invalid.
+    pub rejected_messages: Counter,
 }
 
 /// Counters of the connections of one side.
 #[derive(Default)]
 pub struct ConnectionMetrics {
     /// Connections opened.
-    pub opened: Count,
-    /// Connections refused.
-    pub refused: Count,
+    pub opened: Counter,
+    /// Failures to accept or open a connection, and requests rejected because too many connections are open.
+    pub refused: Counter,
     /// Connections closed.
-    pub closed: Count,
+    pub closed: Counter,
 }
 
 impl ConnectionMetrics {
-    /// Number of connections open at present.
+    /// Returns the number of open connections.
     pub fn in_use(&self) -> u64 {
         self.opened.get() - self.closed.get()
     }
 }
 
 /// Adds one to a counter.
-pub fn increment(count: &Count) {
-    count.set(count.get() + 1);
+pub fn increment(counter: &Counter) {
+    counter.set(counter.get() + 1);
 }
 
 impl Metrics {
-    /// Makes counters of zero; `classes` are the names of the request classes.
+    /// Creates counters at zero; `classes` are the names of the request classes in the order of their indices.
     pub fn new(classes: &[String]) -> Self {
         let requests_by_class = classes
             .iter()
-            .map(|name| (name.clone(), Count::default()))
+            .map(|name| (name.clone(), Counter::default()))
             .collect();
         Metrics {
             requests_by_class,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Counts a request of a class.
+    /// Counts a request of the class with this index.
     pub fn on_request(&self, class: usize) {
         increment(&self.requests_by_class[class].1);
     }
@@ -102,18 +103,18 @@
 
     /// Counts the outcome of an attempt or a probe.
     pub fn on_attempt_finished(&self, outcome: AttemptOutcome) {
-        if let Some(at) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
-            increment(&self.outcomes[at]);
+        if let Some(index) = OUTCOMES.iter().position(|(known, _)| *known == outcome) {
+            increment(&self.outcomes[index]);
         }
     }
 
-    /// Returns all counters as one line of name=count.
+    /// Returns all counters as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let mut out = String::new();
-        for (name, count) in &self.requests_by_class {
-            let _ = write!(out, "taken.{name}={} ", count.get());
+        for (name, counter) in &self.requests_by_class {
+            let _ = write!(out, "taken.{name}={} ", counter.get());
         }
-        let finals = [
+        let totals = [
             ("answered", &self.answered),
             ("throttled", &self.shed),
             ("failed", &self.failed),
@@ -125,20 +126,20 @@
             ("list_timeouts", &self.list_timeouts),
             ("bad_messages", &self.rejected_messages),
         ];
-        for (name, count) in finals {
-            let _ = write!(out, "{name}={} ", count.get());
+        for (name, counter) in totals {
+            let _ = write!(out, "{name}={} ", counter.get());
         }
-        for ((_, name), count) in OUTCOMES.iter().zip(&self.outcomes) {
-            let _ = write!(out, "ended.{name}={} ", count.get());
+        for ((_, name), counter) in OUTCOMES.iter().zip(&self.outcomes) {
+            let _ = write!(out, "ended.{name}={} ", counter.get());
         }
-        for (side, c) in [("clients", &self.clients), ("servers", &self.servers)] {
+        for (side, connections) in [("clients", &self.clients), ("servers", &self.servers)] {
             let _ = write!(
                 out,
                 "{side}.opened={} {side}.refused={} {side}.closed={} {side}.in_use={} ",
-                c.opened.get(),
-                c.refused.get(),
-                c.closed.get(),
-                c.in_use()
+                connections.opened.get(),
+                connections.refused.get(),
+                connections.closed.get(),
+                connections.in_use()
             );
         }
         out.truncate(out.trim_end().len());
--- a/crates/engine/src/preparation.rs
+++ b/crates/engine/src/preparation.rs
@@ -1,4 +1,4 @@
-//! What happens to a request before the router hears of it: its replica holders are asked where that is needed.
+//! Preparation of requests before routing: lookups and registrations at replica holders where they are needed.
 
 use std::rc::Rc;
 
@@ -12,11 +12,11 @@
 use crate::request_table::PreparingRequest;
 use crate::session_consistency::RequestArrival;
 
-/// Replica holders are asked for at most this part of the time that a client still waits.
+/// The wait for replica holders is limited to the client's remaining time divided by this.
 const REPLICA_WAIT_DIVISOR: Ticks = 8;
 
 impl Engine {
-    /// Asks the replica holders of a request where that is needed, else routes the request.
+    /// Routes a request, after its replica holders have been asked if that is needed.
     pub(crate) fn prepare(
         self: &Rc<Self>,
         header: &RequestHeader<'_>,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Whether replica holders may know what this gateway does not.
+    /// Whether a request needs state that only replica holders may have: all writes do, and reads without a token whose
+    /// session's position is not known at this gateway.
     fn needs_replica_lookup(&self, preparing: &PreparingRequest) -> bool {
         match preparing.consistency {
             Consistency::Write => true,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// What replica holders keep of the idempotency key of a write; none for a write without one.
+    /// Returns the claim of a write's idempotency key for its replica holders; none for a write without a key.
     fn idempotency_claim(
         &self,
         header: &RequestHeader<'_>,
@@ -80,10 +81,12 @@
         })
     }
 
+    /// Returns the longest time to wait for replica holders of a request.
     fn replica_wait(&self, preparing: &PreparingRequest) -> Ticks {
         (preparing.request.deadline - self.clock.now()) / REPLICA_WAIT_DIVISOR
     }
 
+    /// Registers a write with its replica holders; it continues with their decision.
     fn prepare_write(
         self: &Rc<Self>,
         replicated_state: &dyn ReplicatedState,
@@ -102,6 +105,7 @@
         }
     }
 
+    /// Looks up the position of a read's session at its replica holders, and then routes the read.
     fn prepare_read(
         self: &Rc<Self>,
         replicated_state: &dyn ReplicatedState,
@@ -119,7 +123,7 @@
         replicated_state.session_position(session, wait, on_position);
     }
 
-    /// Continues with a write whose replica holders were asked.
+    /// Continues with a write after the decision of its replica holders.
     fn on_write_decision(self: &Rc<Self>, number: u64, ticket: u64, decision: WriteDecision) {
         let Some(mut preparing) = self.requests.borrow_mut().take_preparing(number) else {
             return;
@@ -132,7 +136,7 @@
             } => {
                 let request = &mut preparing.request;
                 request.first_attempt_elsewhere = first_attempt_at;
-                // A batch interval is kept in hand, as with windows that the router keeps itself.
+                // Subtracts a batch interval as a margin, as the router does for its own deduplication windows.
                 let margin = self.settings.routing.batch_interval;
                 if let Some(start_by) = start_by {
                     request.deadline = request.deadline.min(start_by - margin);
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Ends a request that the router has not heard of; without an answer where its client has disconnected.
+    /// Ends a request that has not been routed. `answer` is none if its client has disconnected.
     pub(crate) fn end_unrouted(
         &self,
         mut preparing: PreparingRequest,
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Gives a request to the router; `replicated`: the position that its replica holders have of its session.
+    /// Passes a request to the router. `replicated_position` is the position of its session as known to replica
+    /// holders.
     fn route(self: &Rc<Self>, preparing: PreparingRequest, replicated_position: Option<Ticks>) {
         let PreparingRequest {
             mut open,
--- a/crates/engine/src/replicated_state.rs
+++ b/crates/engine/src/replicated_state.rs
@@ -1,44 +1,53 @@
-//! The engine's interface to the replication of gateway state: session positions, idempotency keys, primaries, drains.
+//! The engine's interface to replicated gateway state: session positions, idempotency keys, primaries and draining
+//! servers.
 //!
-//! Replica holders learn of a request only the numbers of its session and key, and when and where it ran.
+//! Of a request, replica holders learn only the hashes of its session and key, and when and where it was executed.
 
 pub use leverpoint_replication::{DeduplicationDomain, IdempotencyClaim, WriteOutcome};
 use leverpoint_routing::api::Ticks;
 
-/// What is decided about a write before it is routed.
+/// The decision on a write before it is routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteDecision {
-    /// The write is routed.
+    /// The write may be routed.
     Proceed {
-        /// When a write with the same idempotency key was first attempted elsewhere, if it was.
+        /// When a write with the same idempotency key was first attempted through another gateway; none if it was not.
         first_attempt_at: Option<Ticks>,
-        /// After this the write must not be attempted any more.
+        /// Latest time at which the write may be attempted; none if there is no limit.
         start_by: Option<Ticks>,
     },
-    /// The write may have been executed elsewhere and must not be attempted again.
+    /// The write may have been executed through another gateway and must not be attempted again.
     PossiblyExecuted,
-    /// The write is shed; how long to wait before a retry.
+    /// The write is shed, with the time to wait before a retry.
     Shed(Ticks),
 }
 
-/// State of this gateway that is replicated at other members.
+/// State of this gateway that is replicated to other members.
 ///
-/// A callback may be called before the method that takes it returns.
+/// Implementations may call a callback before the method that takes it returns.
 pub trait ReplicatedState {
-    /// Registers a write with its replica holders for `most` at the longest; returns a ticket for `finish_write`.
+    /// Registers a write with its replica holders, and calls `on_decision` with the ticket and the decision after
+    /// `max_wait` at the latest. Returns the ticket, which is to be passed to [`Self::finish_write`].
     fn begin_write(
         &self,
         session: u64,
         claim: Option<IdempotencyClaim>,
-        most: Ticks,
-        then: Box<dyn FnOnce(u64, WriteDecision)>,
+        max_wait: Ticks,
+        on_decision: Box<dyn FnOnce(u64, WriteDecision)>,
     ) -> u64;
-    /// Reports what a write has come to.
-    fn finish_write(&self, ticket: u64, came: WriteOutcome);
-    /// Looks up the position that a session has written, if that is known exactly, for `most` at the longest.
-    fn session_position(&self, session: u64, most: Ticks, then: Box<dyn FnOnce(Option<Ticks>)>);
-    /// Records that a server has reported itself as the primary of its replica set.
+    /// Reports the outcome of a write to its replica holders.
+    fn finish_write(&self, ticket: u64, outcome: WriteOutcome);
+    /// Looks up the position of a session's last write at its replica holders, and calls `on_position` with it after
+    /// `max_wait` at the latest; with none if it is not known exactly.
+    fn session_position(
+        &self,
+        session: u64,
+        max_wait: Ticks,
+        on_position: Box<dyn FnOnce(Option<Ticks>)>,
+    );
+    /// Records that a server has reported itself as the primary of its replica set at the time `at`.
     fn record_primary(&self, set: u16, server: &str, at: Ticks);
-    /// Records a change of the endpoint list: its revision, and the servers that drain by it, in order.
+    /// Records the names of the servers that drain according to the endpoint list of `revision`. `drained` must be
+    /// sorted.
     fn record_drained_servers(&self, revision: u64, drained: Vec<String>);
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its final answer, as the client side and the engine exchange them.
+//! Requests and final answers as exchanged between the client side and the engine.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -13,97 +13,98 @@
 use crate::client_connections::BufferReservation;
 use crate::engine::Engine;
 
-/// What a read says that its session must see.
+/// The least position that a read must observe, as stated by the client.
 #[derive(Debug, PartialEq)]
 pub enum RequiredPosition<'a> {
     /// A replication position, in Unix milliseconds.
     UnixMs(f64),
-    /// A session token that this or another gateway has issued.
+    /// A session token issued by this or another gateway; not verified yet.
     Token(&'a str),
 }
 
-/// The parameters of a request, as its statement and comment state them.
+/// Parameters of a request, taken from its statement and the comment in it.
 #[derive(Debug, PartialEq)]
 pub struct RequestHeader<'a> {
     /// The request's id, unique among open requests.
     pub id: &'a str,
     /// Name of the request class.
     pub class: &'a str,
-    /// Name of the tenant.
+    /// Name of the tenant; needed only where the settings have tenants.
     pub tenant: Option<&'a str>,
     /// Number of the replica set.
     pub set: u16,
-    /// How long the client waits, in milliseconds.
+    /// The client's timeout in milliseconds.
     pub timeout_ms: f64,
-    /// The idempotency key, empty where there is none.
+    /// The idempotency key; empty if there is none.
     pub idempotency_key: &'a str,
-    /// Whether the client sends the request again after an earlier attempt of its own.
+    /// Whether the client has sent the request before and retries it.
     pub client_retry: bool,
-    /// What a read must see.
+    /// Position that a read must observe; none if the client states none.
     pub required_position: Option<RequiredPosition<'a>>,
-    /// The quoted key, which names the session.
+    /// The quoted key in the statement, which identifies the session.
     pub session_key: &'a str,
     /// Whether the statement writes.
     pub write: bool,
-    /// Where the value of the comment's timeout stands in the statement.
+    /// Byte range of the comment's timeout value in the statement.
     pub timeout_range: Range<usize>,
 }
 
-/// A request's statement, forwarded as it came except for the value of its timeout.
+/// Statement of a request. It is forwarded unchanged except for the value of its timeout.
 pub struct Statement {
-    /// The text as the client sent it.
+    /// The text as sent by the client.
     pub text: Box<[u8]>,
-    /// Where the value of the timeout stands.
+    /// Byte range of the timeout value in `text`.
     pub timeout_range: Range<usize>,
     /// Whether the statement writes.
     pub write: bool,
 }
 
-/// The messages of a row, as the server sent them.
+/// A row as the messages that the server sent.
 #[derive(Default)]
 pub struct Row {
-    /// The messages, one after the other.
+    /// The concatenated protocol messages.
     pub messages: Vec<u8>,
-    /// Reservations for the bytes of `messages`.
+    /// Buffer reservations that cover `messages`.
     pub reservations: Vec<BufferReservation>,
-    /// The token by which the client may later prove what its session has written.
+    /// Token with which the client can later prove the position that its session has written.
     pub session_token: Option<String>,
 }
 
-/// Why a request is not accepted.
+/// The reason why a request is not accepted.
 #[derive(Debug)]
 pub enum Rejection {
-    /// The request is invalid: an SQLSTATE and a message.
+    /// The request is invalid; holds the SQLSTATE and the message for the client.
     Invalid(&'static str, String),
-    /// The request is shed: milliseconds to wait before a retry, and until when this answer is owed.
+    /// The request is shed; holds the milliseconds to wait before a retry, 0 for no advice, and the deadline of this
+    /// answer.
     Shed(u64, Instant),
 }
 
 /// The final answer of a request.
 #[must_use]
 pub enum FinalAnswer {
-    /// A server has answered with this row.
+    /// The row with which a server answered.
     Answered(Row),
-    /// The request was shed; milliseconds to wait before a retry, 0 for no advice.
+    /// The request was shed; holds the milliseconds to wait before a retry, 0 for no advice.
     Shed(u64),
-    /// No server has answered.
+    /// No server answered. The request may have been executed.
     Failed,
 }
 
-/// How far a request has come on its way to the router.
+/// Stage of a request with respect to routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestStage {
-    /// Its replica holders are asked first; by the number of the preparation.
+    /// Its replica holders are being asked; holds the number of the preparation.
     Preparing(u64),
-    /// The router has it, under this index.
+    /// It was passed to the router under this index.
     Routed(usize),
-    /// It ended before the router heard of it.
+    /// It ended without being routed.
     Ended,
 }
 
-/// A request that waits for its final answer.
+/// A future of a request's final answer.
 ///
-/// Dropping it earlier tells the engine that the client has disconnected.
+/// Dropping it before the answer reports to the engine that the client has disconnected.
 pub struct PendingRequest {
     pub(crate) engine: Rc<Engine>,
     pub(crate) stage: Rc<Cell<RequestStage>>,
@@ -111,7 +112,8 @@
     pub(crate) answered: bool,
     /// Index of the request class.
     pub class: usize,
-    /// When even a late answer no longer counts; the router has answered long before.
+    /// When the answer stops being of use: the request's deadline plus the settings' answer slack. The router answers
+    /// well before.
     pub answer_deadline: Instant,
 }
 
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, by the indices under which the router knows them.
+//! The table of open requests, by the indices that the router uses for them.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashSet};
@@ -17,13 +17,14 @@
 /// The attempts of a request.
 #[derive(Default)]
 pub(crate) struct Attempts {
+    /// Number of attempts started, which is the number of the next one.
     started: u32,
-    /// Those that have not finished, with what cancels them.
+    /// Attempts that have not finished, by number, each with the notification that cancels it.
     outstanding: Vec<(u32, Rc<Notify>)>,
 }
 
 impl Attempts {
-    /// Adds an attempt and returns its number and what cancels it.
+    /// Adds an attempt; returns its number and the notification that cancels it.
     pub(crate) fn start(&mut self) -> (u32, Rc<Notify>) {
         let number = self.started;
         self.started += 1;
@@ -43,31 +44,36 @@
     }
 }
 
-/// A request that has no final answer yet, or still has attempts outstanding.
+/// A request that has no final answer yet or has outstanding attempts.
 pub(crate) struct OpenRequest {
+    /// Decides when its index and its session may be reused.
     pub(crate) usage: RequestUsage,
     pub(crate) id: Box<str>,
     pub(crate) statement: Rc<Statement>,
     pub(crate) session: Option<RequestSession>,
+    /// None if the final answer has been sent or the client has disconnected.
     pub(crate) answer_sender: Option<oneshot::Sender<FinalAnswer>>,
     pub(crate) client: Rc<ClientConnection>,
     pub(crate) idempotency: Idempotency,
-    /// Set with `held.over`: it needs no attempt any more, as its client has gone or it has its final answer.
+    /// Set together with `usage.finished`: it needs no more attempts, as it has its final answer or its client has
+    /// disconnected.
     pub(crate) finished: Rc<Latch>,
     pub(crate) attempts: Attempts,
-    /// The ticket under which its replica holders know this write.
+    /// The ticket of the write's registration with its replica holders, until its outcome is reported to them.
     pub(crate) write_ticket: Option<u64>,
+    /// Whether any finished attempt may have been executed.
     pub(crate) possibly_executed: bool,
 }
 
 impl OpenRequest {
+    /// Records that the request needs no more attempts.
     pub(crate) fn mark_finished(&mut self) {
         self.usage.finished = true;
         self.finished.set();
     }
 
-    /// The answer of a request that is ended by a shutdown: one that may have been executed may only be called
-    /// shed where a retry does no harm.
+    /// Returns the answer of a request that is ended by shutdown. A request that may have been executed is reported as
+    /// shed only if it is idempotent, as clients retry shed requests.
     fn shutdown_answer(&self) -> FinalAnswer {
         let never_executed = !self.possibly_executed && self.attempts.outstanding.is_empty();
         if self.idempotency == Idempotency::Idempotent || never_executed {
@@ -78,30 +84,32 @@
     }
 }
 
-/// A request that the router has not been given yet, because its replica holders are asked first.
+/// A request that is not routed yet because its replica holders are asked first.
 pub(crate) struct PreparingRequest {
     pub(crate) open: OpenRequest,
     pub(crate) request: Request,
     pub(crate) stage: Rc<Cell<RequestStage>>,
-    /// Number of its session; 0 where sessions are not tracked.
+    /// Hash of its session; 0 if sessions are not tracked.
     pub(crate) session_number: u64,
     pub(crate) consistency: Consistency,
-    /// Time left to its latency objective when it arrived.
+    /// Time from its arrival to its latency objective or deadline, whichever is earlier.
     pub(crate) objective_remaining: Ticks,
-    /// The session token that came with it.
+    /// The session token that the client sent with it.
     pub(crate) token: Option<String>,
 }
 
-/// All requests that have not ended.
+/// Open requests, requests in preparation, and the ids and sessions that they use.
 #[derive(Default)]
 pub(crate) struct RequestTable {
+    /// Routed requests by index; none at free indices.
     requests: Vec<Option<OpenRequest>>,
-    free: Vec<usize>,
+    free_indices: Vec<usize>,
     ids: HashSet<Box<str>>,
     pub(crate) sessions: Sessions<Box<str>>,
+    /// Requests in preparation, by the number of the preparation.
     preparing: BTreeMap<u64, PreparingRequest>,
     last_preparation: u64,
-    /// Whether the gateway shuts down: no request is accepted any more.
+    /// Whether the gateway is shutting down, so that new requests are shed.
     pub(crate) shutting_down: bool,
 }
 
@@ -122,9 +130,9 @@
         self.requests.get_mut(index).and_then(Option::as_mut)
     }
 
-    /// Adds a request under a free index.
+    /// Adds a request and returns its index.
     pub(crate) fn insert(&mut self, open: OpenRequest) -> usize {
-        let index = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_indices.pop().unwrap_or_else(|| {
             self.requests.push(None);
             self.requests.len() - 1
         });
@@ -132,24 +140,25 @@
         index
     }
 
-    /// Removes a request that is over and has no attempt outstanding, and frees its index.
+    /// Removes a request that is finished and has no outstanding attempt, and frees its index; returns none for any
+    /// other.
     pub(crate) fn remove_releasable(&mut self, index: usize) -> Option<OpenRequest> {
         let releasable = |open: &OpenRequest| {
             open.usage.is_releasable() || plant("index-early") && open.usage.finished
         };
         let open = self.requests[index].take_if(|open| releasable(open))?;
-        self.free.push(index);
+        self.free_indices.push(index);
         self.release(&open);
         Some(open)
     }
 
-    /// Forgets the id and the session of a request that has ended.
+    /// Releases the id and the session of a request that has ended.
     pub(crate) fn release(&mut self, open: &OpenRequest) {
         self.ids.remove(&open.id);
         self.sessions.on_request_finished(&open.usage);
     }
 
-    /// Adds a request whose replica holders are asked, and returns the number of its preparation.
+    /// Adds a request whose replica holders are asked; returns the number of its preparation.
     pub(crate) fn insert_preparing(&mut self, preparing: PreparingRequest) -> u64 {
         self.last_preparation += 1;
         let number = self.last_preparation;
@@ -162,6 +171,7 @@
         self.preparing.get_mut(&number)
     }
 
+    /// Removes a request from preparation; none if it has left it already.
     pub(crate) fn take_preparing(&mut self, number: u64) -> Option<PreparingRequest> {
         self.preparing.remove(&number)
     }
@@ -170,7 +180,7 @@
         std::mem::take(&mut self.preparing).into_values().collect()
     }
 
-    /// The answers of all requests that are still unanswered when the gateway shuts down.
+    /// Returns the answers for the routed requests that are still unanswered at shutdown, by index.
     pub(crate) fn shutdown_answers(&self) -> Vec<(usize, FinalAnswer)> {
         self.requests
             .iter()
@@ -181,18 +191,18 @@
             .collect()
     }
 
-    /// Number of requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub(crate) fn unanswered(&self) -> usize {
         let open = self.requests.iter().flatten();
         open.filter(|open| !open.usage.finished).count() + self.preparing.len()
     }
 
-    /// Number of indices, the free ones included.
+    /// Returns the number of indices, including the free ones.
     pub(crate) fn capacity(&self) -> usize {
         self.requests.len()
     }
 
-    /// Number of ids of open requests.
+    /// Returns the number of ids in use.
     pub(crate) fn open_ids(&self) -> usize {
         self.ids.len()
     }
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -1,4 +1,4 @@
-//! The engine's access to session tracking: reports writes to it, and asks it what a read must see.
+//! The engine's interface to session tracking, which determines the position that each read must observe.
 
 use std::cell::{Cell, RefCell};
 
@@ -9,34 +9,34 @@
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
 
-/// The session of one request.
+/// Session of a request, as recorded on its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSession {
     /// Hash of the session, see [`SessionConsistency::session_number`].
     pub number: u64,
     set: usize,
     arrived_at: Ticks,
-    /// Whether the request writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// What a read must see.
+    /// Position that a read must observe; none for a write.
     pub requirement: Option<RequiredPosition>,
 }
 
-/// A request as session tracking needs it.
+/// An arriving request with the data that session tracking needs.
 pub struct RequestArrival<'a> {
-    /// What its class demands.
+    /// Consistency of its request class.
     pub consistency: Consistency,
     /// Hash of its session, see [`SessionConsistency::session_number`].
     pub session_number: u64,
     /// Index of its replica set.
     pub set: usize,
-    /// The present time.
+    /// Time of its arrival on the engine's clock.
     pub now: Ticks,
-    /// Time left to its latency objective.
+    /// Time from its arrival to its latency objective.
     pub objective_remaining: Ticks,
-    /// Its session token.
+    /// Its session token, not verified yet.
     pub token: Option<&'a str>,
-    /// The position that replica holders have of its session.
+    /// Position of its session as known to replica holders.
     pub replicated_position: Option<Ticks>,
 }
 
@@ -56,25 +56,27 @@
     }
 }
 
-/// Persists records beyond the lifetime of this process.
+/// A function that persists session positions, so that they outlive this process.
 pub type Persister = Box<dyn Fn(&mut dyn Iterator<Item = SessionPosition>)>;
 
-/// What the sessions' reads must see.
+/// Tracks the positions that sessions have written, and signs and verifies session tokens.
 pub struct SessionConsistency {
     tracker: RefCell<SessionTracker>,
     keys: Keys,
-    secret: u64,
+    /// Key of the session hash.
+    hash_secret: u64,
     clocks_checked_at: Cell<Ticks>,
     persister: RefCell<Option<Persister>>,
-    /// Whether positions are replicated: then a write's position goes to its holders before its answer goes out.
+    /// Whether positions are replicated: then a write's position is sent to its replica holders before its answer is
+    /// delivered.
     replicated: Cell<bool>,
 }
 
-/// How often the two clocks are compared.
+/// How often the wall clock is compared with the monotonic clock, in ticks; 1 s.
 const CLOCK_CHECK_INTERVAL: Ticks = 10_000;
 
 impl SessionConsistency {
-    /// Starts the tracking of sessions.
+    /// Creates a tracker without known sessions; `seed` is that of the tracker's random numbers.
     pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
         if plant("epoch-forgotten") {
             tracking.config.exclusive_for = None;
@@ -83,30 +85,30 @@
         SessionConsistency {
             tracker,
             keys: tracking.keys,
-            secret: tracking.hash_secret,
+            hash_secret: tracking.hash_secret,
             clocks_checked_at: Cell::new(now),
             persister: RefCell::new(None),
             replicated: Cell::new(false),
         }
     }
 
-    /// Notes that positions are replicated from now on.
+    /// Records that positions are replicated from now on.
     pub fn set_replicated(&self) {
         self.replicated.set(true);
     }
 
-    /// Returns the number of a session, the same at all gateways that share the secret.
+    /// Returns the hash of a session, which is the same at all gateways with the same secret.
     pub fn session_number(&self, set: u16, key: &str) -> u64 {
-        session_hash(self.secret, set, key)
+        session_hash(self.hash_secret, set, key)
     }
 
-    /// Returns the number of an idempotency key of a tenant, the same at all gateways that share the secret.
+    /// Returns the hash of a tenant's idempotency key, which is the same at all gateways with the same secret.
     pub fn idempotency_number(&self, tenant: &str, key: &str) -> u64 {
-        // Session texts never begin with this byte, so the two kinds of numbers never collide by construction.
-        session_hash(self.secret, 0, &format!("\u{1}{tenant}\u{1}{key}"))
+        // Session keys never begin with this byte, so no session has the same hash input as an idempotency key.
+        session_hash(self.hash_secret, 0, &format!("\u{1}{tenant}\u{1}{key}"))
     }
 
-    /// Whether a read must see everything up to now, by what is known at this gateway alone.
+    /// Whether a read of the session must observe all writes up to now, as far as this gateway knows on its own.
     pub fn requires_current_position(&self, session: u64, now: Ticks) -> bool {
         self.tracker.borrow().requires_current_instant(session, now)
     }
@@ -116,20 +118,22 @@
         self.tracker.borrow().instant(now)
     }
 
-    /// Sets what persists records.
+    /// Sets the function that persists new positions.
     pub fn set_persister(&self, persister: Persister) {
         *self.persister.borrow_mut() = Some(persister);
     }
 
-    /// Takes the records that an earlier process has persisted; `whole`: until when they are complete.
+    /// Restores the records that an earlier process has persisted. `missing_up_to` is none if that process did not shut
+    /// down cleanly; otherwise only positions up to it may be missing from `records`.
     pub fn on_recovered(
         &self,
         records: impl Iterator<Item = SessionPosition>,
-        whole: Option<Ticks>,
+        missing_up_to: Option<Ticks>,
     ) {
-        self.tracker.borrow_mut().restore(records, whole);
+        self.tracker.borrow_mut().restore(records, missing_up_to);
     }
 
+    /// Passes both clocks to the tracker once per interval, as a step of the wall clock ends its epoch.
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Takes a request; returns its session where the request is tracked.
+    /// Records the arrival of a request; returns its session, or none if its consistency needs no tracking.
     pub fn on_request(&self, arrival: &RequestArrival<'_>) -> Option<RequestSession> {
         self.check_clocks(arrival.now);
         match arrival.consistency {
@@ -156,7 +160,7 @@
         }
     }
 
-    /// What a read must see.
+    /// Returns the position that a read must observe, and counts a token that is not valid.
     fn read_requirement(&self, arrival: &RequestArrival<'_>) -> RequiredPosition {
         let mut tracker = self.tracker.borrow_mut();
         let verified = arrival
@@ -175,7 +179,7 @@
         )
     }
 
-    /// The position that a session token proves; none where the token is not valid for the session.
+    /// Returns the position in a session token; none if the token is not valid for the session.
     fn verified_position(&self, text: &str, session: u64) -> Option<Ticks> {
         if plant("token-forged") {
             return Some(1);
@@ -183,7 +187,7 @@
         SessionToken::read(&self.keys, text, session)
     }
 
-    /// Whether a complete row waits until the server has reported its role and position.
+    /// Whether a complete row must be held back until the server has reported its role and position.
     pub fn needs_report(&self, session: &RequestSession) -> bool {
         if session.write {
             !self.keys.is_empty() || self.replicated.get()
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Takes note of a complete row: a write's position is unknown until the server has reported it.
+    /// Handles a complete row: the position of a write is unknown until the server has reported it.
     pub fn on_row_complete(&self, session: &RequestSession, now: Ticks) {
         if session.write {
             self.tracker
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Whether a server's report behind a row covers what the read must see.
+    /// Whether a server's report after a row shows that the read has observed its required position.
     pub fn is_covered(
         &self,
         session: &RequestSession,
@@ -220,7 +224,8 @@
         )
     }
 
-    /// Returns the session token of a write that was answered at the reported position.
+    /// Returns a signed session token for a write that was answered at the reported position; none for a read, without
+    /// a position or without a signing key.
     pub fn sign_token(
         &self,
         session: &RequestSession,
@@ -239,7 +244,7 @@
             .flatten()
     }
 
-    /// Takes the outcome of an attempt.
+    /// Handles the outcome of an attempt, and persists the positions that result from it.
     pub fn on_attempt_finished(
         &self,
         session: &RequestSession,
@@ -295,7 +300,7 @@
         }
     }
 
-    /// Returns the counters as one line of name=count.
+    /// Returns the counters as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let tracker = self.tracker.borrow();
         let counts = tracker.counts;
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! The router's timers, ordered by the time at which they expire.
+//! The router's timers, ordered by expiry.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 
-/// Timers that have not expired yet.
+/// Timers that have not expired yet, each with the router's key.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: RefCell<BinaryHeap<Reverse<(Ticks, u32)>>>,
@@ -18,6 +18,7 @@
 }
 
 impl Timers {
+    /// Adds a timer that expires at `at`. Several timers may have the same key.
     pub(crate) fn set(&self, at: Ticks, key: u32) {
         self.queue.borrow_mut().push(Reverse((at, key)));
         self.changed.notify_one();
@@ -31,7 +32,7 @@
         self.queue.borrow().peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Waits until the earliest timer may have expired, or the timers have changed.
+    /// Waits until the earliest timer has expired or a timer is added. May return early.
     pub(crate) async fn wait(&self, clock: &Clock) {
         let at = loop {
             match self.next_deadline() {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Removes the earliest timer if it has expired by `now`, and returns its key.
+    /// Removes and returns the key of the earliest timer if it has expired by `now`.
     pub(crate) fn pop_expired(&self, now: Ticks) -> Option<u32> {
         if self.next_deadline()? > now {
             return None;
