--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -367,7 +367,7 @@
             .on_message_complete(self.id);
     }
 
-    /// Excludes a time during which the gateway did not read from the client's measured rate.
+    /// Excludes `waited`, during which the gateway did not read, from the client's measured rate.
     pub fn exclude_wait(&self, waited: Duration) {
         self.connections
             .backpressure
--- a/crates/engine/src/discovery.rs
+++ b/crates/engine/src/discovery.rs
@@ -78,8 +78,8 @@
     /// lease expires, none if it does not expire.
     pub fn endpoint_list_age(&self) -> (Option<Duration>, Option<Duration>) {
         let lease_end = self.router.borrow().lease().expires_at();
-        let left = lease_end.map(|end| ticks_to_duration((end - self.clock.now()).max(0)));
-        (self.endpoints.since_confirmed(), left)
+        let remaining = lease_end.map(|end| ticks_to_duration((end - self.clock.now()).max(0)));
+        (self.endpoints.since_confirmed(), remaining)
     }
 
     /// Returns the highest revision of an endpoint list received so far.
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -37,6 +37,7 @@
 /// State of a server that the engine keeps in addition to the router's.
 #[derive(Clone, Default)]
 struct EndpointRecord {
+    /// Whether an entry of the server has been recorded and its number logged.
     known: bool,
     address: Option<SocketAddr>,
     started_ms: f64,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The event loop around the router: passes events to `Router::handle` and applies the actions that it returns.
+//! The coordinator: passes events to `Router::handle` and applies the resulting actions.
 //!
 //! This is the only caller of `Router::handle`. Every action is applied unchanged; an attempt that can't be executed
 //! finishes with the outcome `NotSent`.
@@ -58,11 +58,15 @@
     EndpointList(EndpointUpdate, Vec<Endpoint>),
     Discovery(DiscoveryOutcome),
     RequestArrived(Request),
+    /// The row of a write was delivered; holds the request's index.
     WriteAnswered(usize),
     AttemptFinished(AttemptReport),
+    /// A client has disconnected before its final answer; holds the request's index.
     ClientDisconnected(usize),
     PrimariesAnnounced(Vec<PrimaryAnnouncement>),
+    /// The gateway shuts down at this time.
     ShutdownScheduled(Ticks),
+    /// A timer has expired; holds the router's key.
     TimerExpired(u32),
     ProbeFinished {
         server: usize,
@@ -113,7 +117,7 @@
     }
 }
 
-/// Components that the engine calls. They are set after the engine is created, as they need a reference to it.
+/// Components that the engine calls, each set when it has started.
 #[derive(Default)]
 struct Collaborators {
     executor: RefCell<Option<Rc<dyn AttemptExecutor>>>,
@@ -194,7 +198,7 @@
         sleep_until(deadline).await;
         let preparing = {
             let mut requests = self.requests.borrow_mut();
-            requests.shutting_down = true;
+            requests.shut_down = true;
             requests.take_all_preparing()
         };
         for preparing in preparing {
@@ -275,7 +279,8 @@
         }
     }
 
-    /// Passes one event to the router; returns the request whose attempt has finished or whose client has disconnected.
+    /// Passes one event to the router; returns the request whose attempt has finished or whose client has disconnected,
+    /// if any.
     fn forward_to_router(&self, event: EngineEvent, actions: &mut Vec<Action>) -> Option<usize> {
         let now = self.clock.now();
         let mut router = self.router.borrow_mut();
--- a/crates/engine/src/eviction.rs
+++ b/crates/engine/src/eviction.rs
@@ -89,7 +89,7 @@
 impl ConnectionEviction {
     /// Creates an eviction that keeps the connections below a sixth of `descriptors`.
     ///
-    /// Clients may use a third of the descriptors on this platform. Half of that is kept free for new connections,
+    /// The platform allows clients a third of the descriptors. Half of that is kept free for new connections,
     /// which idle ones would otherwise block.
     pub fn new(descriptors: usize, connections: Rc<ClientConnections>) -> Rc<Self> {
         let [silent, unproven, proven] = Default::default();
--- a/crates/engine/src/intake.rs
+++ b/crates/engine/src/intake.rs
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Sheds a request if there is no buffer capacity for its answer, and every request during shutdown.
+    /// Sheds a request if there is no buffer capacity for its answer, and every request after the shutdown deadline.
     fn admit(
         &self,
         resolved: &ResolvedNames,
         client: &Rc<ClientConnection>,
         answer_deadline: Instant,
     ) -> Result<(), Rejection> {
-        let admitted = if self.requests.borrow().shutting_down {
+        let admitted = if self.requests.borrow().shut_down {
             Err(0)
         } else {
             client.admit(resolved.class, resolved.tenant, answer_deadline)
@@ -245,14 +245,14 @@
             Some(RequiredPosition::Token(token)) => Some(token.to_owned()),
             _ => None,
         };
-        let session_number = self.session_consistency.as_ref().map_or(0, |sessions| {
-            sessions.session_number(header.set, header.session_key)
+        let session_hash = self.session_consistency.as_ref().map_or(0, |sessions| {
+            sessions.hash_session(header.set, header.session_key)
         });
         PreparingRequest {
             open,
             request,
             stage: Rc::new(Cell::new(RequestStage::Ended)),
-            session_number,
+            session_hash,
             consistency: class.consistency,
             objective_remaining: (objective_deadline - now).max(0),
             token,
--- a/crates/engine/src/preparation.rs
+++ b/crates/engine/src/preparation.rs
@@ -49,7 +49,7 @@
                 let sessions = self.session_consistency.as_ref();
                 preparing.token.is_none()
                     && sessions.is_some_and(|sessions| {
-                        sessions.requires_current_position(preparing.session_number, now)
+                        sessions.requires_current_position(preparing.session_hash, now)
                     })
             }
             _ => false,
@@ -68,8 +68,8 @@
         let sessions = self.session_consistency.as_ref()?;
         let key = header.idempotency_key;
         Some(IdempotencyClaim {
-            key: sessions.idempotency_number(header.tenant.unwrap_or_default(), key),
-            attempt_id: sessions.idempotency_number(header.id, key) ^ self.settings.routing.seed,
+            key: sessions.hash_idempotency_key(header.tenant.unwrap_or_default(), key),
+            attempt_id: sessions.hash_idempotency_key(header.id, key) ^ self.settings.routing.seed,
             replica_set: header.set,
             deduplication: match scope {
                 DeduplicationScope::Everywhere => DeduplicationDomain::Global,
@@ -93,7 +93,7 @@
         preparing: PreparingRequest,
         claim: Option<IdempotencyClaim>,
     ) {
-        let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
+        let (session, wait) = (preparing.session_hash, self.replica_wait(&preparing));
         let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_decision = Box::new(move |ticket, decision| {
@@ -111,7 +111,7 @@
         replicated_state: &dyn ReplicatedState,
         preparing: PreparingRequest,
     ) {
-        let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
+        let (session, wait) = (preparing.session_hash, self.replica_wait(&preparing));
         let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_position = Box::new(move |position| {
@@ -180,7 +180,7 @@
             mut open,
             mut request,
             stage,
-            session_number,
+            session_hash,
             consistency,
             objective_remaining,
             token,
@@ -189,7 +189,7 @@
         open.session = self.session_consistency.as_ref().and_then(|sessions| {
             sessions.on_request(&RequestArrival {
                 consistency,
-                session_number,
+                session_hash,
                 set: request.set,
                 now,
                 objective_remaining,
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -90,7 +90,7 @@
     pub(crate) request: Request,
     pub(crate) stage: Rc<Cell<RequestStage>>,
     /// Hash of its session; 0 if sessions are not tracked.
-    pub(crate) session_number: u64,
+    pub(crate) session_hash: u64,
     pub(crate) consistency: Consistency,
     /// Time from its arrival to its latency objective or deadline, whichever is earlier.
     pub(crate) objective_remaining: Ticks,
@@ -109,8 +109,8 @@
     /// Requests in preparation, by the number of the preparation.
     preparing: BTreeMap<u64, PreparingRequest>,
     last_preparation: u64,
-    /// Whether the gateway is shutting down, so that new requests are shed.
-    pub(crate) shutting_down: bool,
+    /// Whether the shutdown deadline has passed, so that new requests are shed.
+    pub(crate) shut_down: bool,
 }
 
 impl RequestTable {
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -12,8 +12,8 @@
 /// Session of a request, as recorded on its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSession {
-    /// Hash of the session, see [`SessionConsistency::session_number`].
-    pub number: u64,
+    /// Hash of the session, see [`SessionConsistency::hash_session`].
+    pub hash: u64,
     set: usize,
     arrived_at: Ticks,
     /// Whether the request is a write.
@@ -26,8 +26,8 @@
 pub struct RequestArrival<'a> {
     /// Consistency of its request class.
     pub consistency: Consistency,
-    /// Hash of its session, see [`SessionConsistency::session_number`].
-    pub session_number: u64,
+    /// Hash of its session, see [`SessionConsistency::hash_session`].
+    pub session_hash: u64,
     /// Index of its replica set.
     pub set: usize,
     /// Time of its arrival on the engine's clock.
@@ -47,7 +47,7 @@
         requirement: Option<RequiredPosition>,
     ) -> RequestSession {
         RequestSession {
-            number: self.session_number,
+            hash: self.session_hash,
             set: self.set,
             arrived_at: self.now,
             write,
@@ -98,12 +98,12 @@
     }
 
     /// Returns the hash of a session, which is the same at all gateways with the same secret.
-    pub fn session_number(&self, set: u16, key: &str) -> u64 {
+    pub fn hash_session(&self, set: u16, key: &str) -> u64 {
         session_hash(self.hash_secret, set, key)
     }
 
     /// Returns the hash of a tenant's idempotency key, which is the same at all gateways with the same secret.
-    pub fn idempotency_number(&self, tenant: &str, key: &str) -> u64 {
+    pub fn hash_idempotency_key(&self, tenant: &str, key: &str) -> u64 {
         // Session keys never begin with this byte, so no session has the same hash input as an idempotency key.
         session_hash(self.hash_secret, 0, &format!("\u{1}{tenant}\u{1}{key}"))
     }
@@ -149,7 +149,7 @@
         match arrival.consistency {
             Consistency::Write => {
                 let mut tracker = self.tracker.borrow_mut();
-                tracker.on_write(arrival.session_number, arrival.now);
+                tracker.on_write(arrival.session_hash, arrival.now);
                 Some(arrival.request_session(true, None))
             }
             Consistency::Session => {
@@ -165,12 +165,12 @@
         let mut tracker = self.tracker.borrow_mut();
         let verified = arrival
             .token
-            .and_then(|token| self.verified_position(token, arrival.session_number));
+            .and_then(|token| self.verified_position(token, arrival.session_hash));
         if arrival.token.is_some() && verified.is_none() {
             tracker.counts.refused_tokens += 1;
         }
         tracker.on_read(
-            arrival.session_number,
+            arrival.session_hash,
             arrival.set,
             arrival.now,
             arrival.objective_remaining,
@@ -201,7 +201,7 @@
         if session.write {
             self.tracker
                 .borrow_mut()
-                .on_write_uncertain(session.number, now);
+                .on_write_uncertain(session.hash, now);
         }
     }
 
@@ -236,7 +236,7 @@
             .write
             .then(|| {
                 SessionToken {
-                    session: session.number,
+                    session: session.hash,
                     position,
                 }
                 .sign(&self.keys)
@@ -275,9 +275,9 @@
         let mut tracker = self.tracker.borrow_mut();
         if outcome == AttemptOutcome::Answered {
             let position = report.and_then(|report| report.position);
-            tracker.on_write_answered(session.number, now, position);
+            tracker.on_write_answered(session.hash, now, position);
         } else if !outcome.never_executed() {
-            tracker.on_write_uncertain(session.number, now);
+            tracker.on_write_uncertain(session.hash, now);
         }
     }
 
