--- a/crates/backpressure/src/connections.rs
+++ b/crates/backpressure/src/connections.rs
@@ -64,8 +64,8 @@
     own_estimate: Option<usize>,
     /// Until then a complete final answer is due to it.
     answer_due_until: Ticks,
-    /// Its index in `waiting`.
-    waiting_index: Option<usize>,
+    /// Its index in `unread_connections`.
+    unread_index: Option<usize>,
 }
 
 /// Client connections by index.
@@ -77,7 +77,7 @@
     order: EvictionOrder,
     sizes: ResponseSizes,
     /// Connections with unread responses, in no order.
-    waiting: Vec<usize>,
+    unread_connections: Vec<usize>,
     /// Connections by state.
     counts: [usize; 4],
     random: fastrand::Rng,
@@ -102,7 +102,7 @@
             pools: [pool.clone(), pool],
             order: EvictionOrder::default(),
             sizes: ResponseSizes::new(classes, unclaimed),
-            waiting: Vec::new(),
+            unread_connections: Vec::new(),
             counts: [0; 4],
             random: fastrand::Rng::with_seed(seed),
             evicted: 0,
@@ -279,11 +279,11 @@
         };
         let answer_due = now < connection.answer_due_until;
         let effect = self.step(id, input, answer_due);
-        match (bytes, self.connections[id].waiting_index) {
+        match (bytes, self.connections[id].unread_index) {
             (0, _) => self.done(id),
             (_, None) => {
-                self.connections[id].waiting_index = Some(self.waiting.len());
-                self.waiting.push(id);
+                self.connections[id].unread_index = Some(self.unread_connections.len());
+                self.unread_connections.push(id);
             }
             _ => {}
         }
@@ -292,13 +292,13 @@
     }
 
     /// Bytes of an incomplete message have come.
-    pub fn came(&mut self, now: Ticks, id: usize, bytes: usize) {
-        self.connections[id].into.came(now, bytes);
+    pub fn on_bytes_received(&mut self, now: Ticks, id: usize, bytes: usize) {
+        self.connections[id].into.on_bytes_received(now, bytes);
     }
 
     /// Excludes time in which the gateway did not read, for lack of buffer.
-    pub fn excuse(&mut self, id: usize, span: Ticks) {
-        self.connections[id].into.excuse(span);
+    pub fn exclude_wait(&mut self, id: usize, span: Ticks) {
+        self.connections[id].into.exclude_wait(span);
     }
 
     /// The message is complete.
@@ -372,10 +372,10 @@
     fn done(&mut self, id: usize) {
         let connection = &mut self.connections[id];
         connection.out.clear();
-        if let Some(at) = connection.waiting_index.take() {
-            self.waiting.swap_remove(at);
-            if let Some(moved) = self.waiting.get(at) {
-                self.connections[*moved].waiting_index = Some(at);
+        if let Some(at) = connection.unread_index.take() {
+            self.unread_connections.swap_remove(at);
+            if let Some(moved) = self.unread_connections.get(at) {
+                self.connections[*moved].unread_index = Some(at);
             }
         }
     }
@@ -400,8 +400,8 @@
     }
 
     /// Connections with unread responses.
-    pub fn waiting(&self) -> &[usize] {
-        &self.waiting
+    pub fn unread_connections(&self) -> &[usize] {
+        &self.unread_connections
     }
 
     /// Bytes that the client has not read yet.
@@ -432,12 +432,12 @@
     }
 
     /// Connections by state, in the order of [`ConnectionState::ALL`].
-    pub fn counts(&self) -> [usize; 4] {
+    pub fn counts_by_state(&self) -> [usize; 4] {
         self.counts
     }
 
     /// Connections evicted and requests shed so far.
-    pub fn totals(&self) -> (u64, u64) {
+    pub fn evicted_and_shed(&self) -> (u64, u64) {
         (self.evicted, self.shed)
     }
 }
--- a/crates/backpressure/src/limits.rs
+++ b/crates/backpressure/src/limits.rs
@@ -42,17 +42,17 @@
 
 /// What the machine provides, and what each connection is granted without a reservation.
 #[derive(Clone, Copy, Debug)]
-pub struct MachineResources {
+pub struct ProcessResources {
     /// Memory for the process, in bytes.
     pub memory: usize,
     /// Descriptors for the process.
-    pub sockets: usize,
+    pub descriptors: usize,
     /// Bytes that a connection may take in both directions together without a reservation.
-    pub unclaimed: usize,
+    pub unreserved_per_connection: usize,
     /// Length of the longest message.
-    pub longest: usize,
+    pub max_message: usize,
     /// How long a connection may take to come up.
-    pub connect: Ticks,
+    pub connect_timeout: Ticks,
 }
 
 /// Least rate, in bytes a second: well below the slowest usable network.
@@ -70,15 +70,15 @@
 
 impl Limits {
     /// Defaults for a machine, where the operator's file says nothing.
-    pub fn from_resources(machine: &MachineResources) -> Limits {
+    pub fn from_resources(resources: &ProcessResources) -> Limits {
         // A quarter of the memory for both kernel buffers of all connections, within the bounds.
-        let kernel =
-            (machine.memory / 8 / machine.sockets).clamp(MIN_KERNEL_BUFFER, MAX_KERNEL_BUFFER);
+        let kernel = (resources.memory / 8 / resources.descriptors)
+            .clamp(MIN_KERNEL_BUFFER, MAX_KERNEL_BUFFER);
         // What connections take without a reservation comes off first, in their ring buffers and, for one of the two
         // directions, in the kernel. A third each is for requests and for responses, the rest for all else.
-        let connections = machine.sockets * (machine.unclaimed + kernel);
-        let all = (machine.memory.saturating_sub(connections) / 3).max(machine.longest);
-        let newcomers = (all / 2).max(machine.longest);
+        let connections = resources.descriptors * (resources.unreserved_per_connection + kernel);
+        let all = (resources.memory.saturating_sub(connections) / 3).max(resources.max_message);
+        let newcomers = (all / 2).max(resources.max_message);
         Limits {
             min_rate: MIN_RATE,
             grace: GRACE,
@@ -86,16 +86,16 @@
             small_message: 4 << 10,
             // The kernel takes twice what it was asked for, and the client's kernel may hold as much.
             proof_bytes: 4 * kernel,
-            per_connection: machine.longest,
-            per_tenant: (newcomers / 3 * 2).max(machine.longest),
-            slow_total: (all / 4).max(machine.longest),
+            per_connection: resources.max_message,
+            per_tenant: (newcomers / 3 * 2).max(resources.max_message),
+            slow_total: (all / 4).max(resources.max_message),
             unproven_total: newcomers,
             total: all,
             // Half of the third of all descriptors that clients may hold for requests.
-            protected_connections: machine.sockets / 6,
+            protected_connections: resources.descriptors / 6,
             arrivals_per_second: ARRIVALS_PER_SECOND,
-            retry_after: machine.connect * 4,
-            ready_timeout: machine.connect,
+            retry_after: resources.connect_timeout * 4,
+            ready_timeout: resources.connect_timeout,
             kernel_buffer: kernel,
             enabled: true,
         }
--- a/crates/backpressure/src/slow_response.rs
+++ b/crates/backpressure/src/slow_response.rs
@@ -36,25 +36,25 @@
     }
 
     /// Takes in `bytes` of the response.
-    pub fn came(&mut self, now: Ticks, bytes: usize) {
-        self.meter.came(now, bytes);
+    pub fn on_bytes_received(&mut self, now: Ticks, bytes: usize) {
+        self.meter.on_bytes_received(now, bytes);
     }
 
     /// Whether any byte has come.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.meter.moved_total() > 0
     }
 
     /// Excludes time in which the gateway did not read.
-    pub fn excuse(&mut self, span: Ticks) {
-        self.meter.excuse(span);
+    pub fn exclude_wait(&mut self, span: Ticks) {
+        self.meter.exclude_wait(span);
     }
 
     /// Whether the response cannot be complete by `until` at the better of its two rates, or nothing has come for half
     /// of the time left. `missing` is what the current message lacks, 0 where its length is unknown.
     pub fn cannot_finish(&self, now: Ticks, missing: usize, until: Ticks) -> bool {
         let left = (until - now).max(0);
-        if !self.begun() || self.meter.age(now) < self.earliest {
+        if !self.has_started() || self.meter.age(now) < self.earliest {
             return false;
         }
         let still = self.meter.idle_for(now);
--- a/crates/backpressure/src/throughput.rs
+++ b/crates/backpressure/src/throughput.rs
@@ -54,7 +54,7 @@
     }
 
     /// `bytes` have come of a message of unknown length: one byte more waits until it is cleared.
-    pub fn came(&mut self, now: Ticks, bytes: usize) {
+    pub fn on_bytes_received(&mut self, now: Ticks, bytes: usize) {
         self.add(now, bytes + usize::from(self.waiting == 0));
         self.moved(now, bytes);
     }
@@ -65,7 +65,7 @@
     }
 
     /// Excludes time in which nothing could move for reasons of the gateway's own.
-    pub fn excuse(&mut self, span: Ticks) {
+    pub fn exclude_wait(&mut self, span: Ticks) {
         (self.since, self.progress) = (self.since + span, self.progress + span);
     }
 
--- a/crates/backpressure/tests/backpressure.rs
+++ b/crates/backpressure/tests/backpressure.rs
@@ -1,7 +1,7 @@
 //! Short courses of peers, as people read them: what is told, what state follows and what is to be done.
 
 use leverpoint_backpressure::eviction_order::{EvictionOrder, EvictionRank};
-use leverpoint_backpressure::limits::MachineResources;
+use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_backpressure::state::{self, Action, Reading};
 use leverpoint_backpressure::{
     Admission, ArrivalRateLimiter, BufferKind, ConnectionState, Connections, EvictionCandidate,
@@ -14,13 +14,13 @@
 type Rate = dyn Fn(Ticks) -> usize;
 
 fn limits() -> Limits {
-    let (memory, sockets) = (32 << 20, 1_024);
-    Limits::from_resources(&MachineResources {
+    let (memory, descriptors) = (32 << 20, 1_024);
+    Limits::from_resources(&ProcessResources {
         memory,
-        sockets,
-        unclaimed: 8 * KIB,
-        longest: 136 * KIB,
-        connect: 2_500,
+        descriptors,
+        unreserved_per_connection: 8 * KIB,
+        max_message: 136 * KIB,
+        connect_timeout: 2_500,
     })
 }
 
@@ -97,7 +97,7 @@
         now += 200_000;
         assert_eq!(peers.state(id), ConnectionState::Slow);
     }
-    assert_eq!(peers.totals().0, 0);
+    assert_eq!(peers.evicted_and_shed().0, 0);
 }
 
 #[test]
@@ -215,7 +215,7 @@
             assert_eq!(peers.pool(which).held(), held);
             assert!(held <= peers.limits().total);
         }
-        assert_eq!(peers.counts().iter().sum::<usize>(), there.len());
+        assert_eq!(peers.counts_by_state().iter().sum::<usize>(), there.len());
     }
     there.iter().for_each(|p| peers.close(p.0));
     assert_eq!(
@@ -230,7 +230,7 @@
             + peers.pool(BufferKind::Response).of_tenant(1),
         0
     );
-    assert!(peers.waiting().is_empty());
+    assert!(peers.unread_connections().is_empty());
 }
 
 #[test]
@@ -389,7 +389,7 @@
         let id = peers.open();
         let (mut due, mut told) = (0, 0);
         let ended = (0..100).map(|n| n * 1_000).find(|now| {
-            peers.came(*now, id, bytes(*now));
+            peers.on_bytes_received(*now, id, bytes(*now));
             told += bytes(*now);
             if *now >= due {
                 match peers.incomplete_message_deadline(*now, id) {
@@ -427,7 +427,7 @@
         let ended = (0..400).map(|n| n * 50).find(|now| {
             let bytes = comes(*now);
             if bytes > 0 {
-                trickle.came(*now, bytes);
+                trickle.on_bytes_received(*now, bytes);
                 got += bytes;
             }
             got >= whole || trickle.cannot_finish(*now, whole - got, 10_000)
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,19 +1,19 @@
 //! The operator's file: the configuration it results in, and the one line of each error.
 
 use leverpoint_backpressure::Limits;
-use leverpoint_backpressure::limits::MachineResources;
+use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_config::operator::{self, OperatorConfig};
 
 const LONGEST: usize = 136 << 10;
 
 fn limits() -> Limits {
-    let (memory, sockets) = (32 << 20, 1_024);
-    Limits::from_resources(&MachineResources {
+    let (memory, descriptors) = (32 << 20, 1_024);
+    Limits::from_resources(&ProcessResources {
         memory,
-        sockets,
-        unclaimed: 8 << 10,
-        longest: LONGEST,
-        connect: 2_500,
+        descriptors,
+        unreserved_per_connection: 8 << 10,
+        max_message: LONGEST,
+        connect_timeout: 2_500,
     })
 }
 
--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -174,11 +174,11 @@
     /// Checks the connections with unacknowledged bytes, for as long as the gateway runs.
     pub async fn monitor(self: Rc<Self>) {
         loop {
-            while self.backpressure.borrow().waiting().is_empty() {
+            while self.backpressure.borrow().unread_connections().is_empty() {
                 self.unacknowledged.notified().await;
             }
             sleep(CHECK_INTERVAL).await;
-            let waiting = self.backpressure.borrow().waiting().to_vec();
+            let waiting = self.backpressure.borrow().unread_connections().to_vec();
             let mut held = self.held();
             for client in waiting.into_iter().filter_map(|id| self.client(id)) {
                 let untaken = client.unacknowledged_bytes();
@@ -198,8 +198,8 @@
     /// Returns the counters of connections as one line of name=count.
     pub fn summary(&self) -> String {
         let backpressure = self.backpressure.borrow();
-        let [new, usual, slow, stalled] = backpressure.counts();
-        let (let_go, sent_back) = backpressure.totals();
+        let [new, usual, slow, stalled] = backpressure.counts_by_state();
+        let (let_go, sent_back) = backpressure.evicted_and_shed();
         let pools = [BufferKind::Request, BufferKind::Response].map(|kind| backpressure.pool(kind));
         let peak = self
             .held_peak
@@ -209,7 +209,7 @@
             "peers.new={new} peers.usual={usual} peers.slow={slow} peers.stalled={stalled} peers.untaken={} \
              peers.let_go={let_go} peers.sent_back={sent_back} held.statements={} held.answers={} \
              held.promised={} held.peak={peak}",
-            backpressure.waiting().len(),
+            backpressure.unread_connections().len(),
             pools[0].held(),
             pools[1].held(),
             pools[1].reserved(),
@@ -347,7 +347,7 @@
         self.connections
             .backpressure
             .borrow_mut()
-            .came(self.connections.now(), self.id, bytes);
+            .on_bytes_received(self.connections.now(), self.id, bytes);
     }
 
     /// Takes note that a message which came in parts is complete.
@@ -363,7 +363,7 @@
         self.connections
             .backpressure
             .borrow_mut()
-            .excuse(self.id, duration_to_ticks(waited));
+            .exclude_wait(self.id, duration_to_ticks(waited));
     }
 
     /// Returns when an incomplete message is to be checked again; none where the client is too slow to complete it.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use leverpoint_backpressure::Limits;
-use leverpoint_backpressure::limits::MachineResources;
+use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_config::ConfigError;
 use leverpoint_config::copies::ReplicationSettings;
 use leverpoint_config::node::NodeConfig;
@@ -66,12 +66,12 @@
 ///
 /// The faulty key of the operator's file.
 pub fn caps(node: &NodeConfig, operator: &OperatorConfig) -> Result<Limits, ConfigError> {
-    let limits = MachineResources {
+    let limits = ProcessResources {
         memory: node.limits.memory_bytes,
-        sockets: node.limits.sockets,
-        unclaimed: 2 * UNRESERVED_BYTES,
-        longest: MAX_MESSAGE,
-        connect: node.settings.connect_timeout,
+        descriptors: node.limits.sockets,
+        unreserved_per_connection: 2 * UNRESERVED_BYTES,
+        max_message: MAX_MESSAGE,
+        connect_timeout: node.settings.connect_timeout,
     };
     operator.backpressure_limits(Limits::from_resources(&limits), MAX_MESSAGE)
 }
--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -73,7 +73,7 @@
     ) -> io::Result<()> {
         let before = socket.input.len();
         // Nothing has been received: the attempt's own timeout covers that.
-        if before == 0 && !self.trickle.begun() {
+        if before == 0 && !self.trickle.has_started() {
             socket.read().await?;
         } else if !self.judged {
             let read = timeout_at(self.deadline, socket.read()).await;
@@ -100,7 +100,7 @@
     fn check_rate(&mut self, received: usize, before: usize, length: usize) -> io::Result<()> {
         let now = self.ticks(now());
         if received > before {
-            self.trickle.came(now, received - before);
+            self.trickle.on_bytes_received(now, received - before);
         }
         let missing = length.saturating_sub(received);
         let deadline = self.ticks(self.order.deadline);
@@ -269,7 +269,7 @@
                     .socket
                     .expect(length, peer, BufferKind::Response, &mut room);
                 let waited = reserved.await;
-                progress.trickle.excuse(duration_to_ticks(waited));
+                progress.trickle.exclude_wait(duration_to_ticks(waited));
             }
             progress.read_more(&mut self.socket, length).await?;
         }
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use leverpoint_backpressure::Limits;
-use leverpoint_backpressure::limits::MachineResources;
+use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_config::settings;
 use leverpoint_engine::client_connections::ClientConnections;
 use leverpoint_engine::engine::{
@@ -29,13 +29,13 @@
     "policyLimits": {"sendCap": 4, "connectTimeoutMs": 250.0, "idleCloseMs": 15000.0}}"#;
 
 fn caps() -> Limits {
-    let (memory, sockets) = (32 << 20, 1_024);
-    Limits::from_resources(&MachineResources {
+    let (memory, descriptors) = (32 << 20, 1_024);
+    Limits::from_resources(&ProcessResources {
         memory,
-        sockets,
-        unclaimed: 8 << 10,
-        longest: 136 << 10,
-        connect: 2_500,
+        descriptors,
+        unreserved_per_connection: 8 << 10,
+        max_message: 136 << 10,
+        connect_timeout: 2_500,
     })
 }
 
