--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -113,7 +113,7 @@
 
     /// Returns the replication position that covers all writes answered by `now`.
     pub fn position_at(&self, now: Ticks) -> Ticks {
-        self.book.borrow().instant(now)
+        self.book.borrow().current_instant(now)
     }
 
     /// Sets what persists records.
@@ -163,7 +163,7 @@
             .token
             .and_then(|token| self.verified_position(token, arrival.session));
         if arrival.token.is_some() && verified.is_none() {
-            book.counts.refused_tokens += 1;
+            book.metrics.rejected_tokens += 1;
         }
         book.on_read(
             arrival.session,
@@ -180,7 +180,7 @@
         if plant("token-forged") {
             return Some(1);
         }
-        SessionToken::read(&self.keys, text, session)
+        SessionToken::verify(&self.keys, text, session)
     }
 
     /// Whether a complete row waits until the server has reported its role and position.
@@ -295,18 +295,18 @@
     /// Returns the counters as one line of name=count.
     pub fn summary(&self) -> String {
         let book = self.book.borrow();
-        let c = book.counts;
+        let c = book.metrics;
         format!(
             "sessions.known={} sessions.bytes={} reads.exact={} reads.instant={} reads.carried={} reads.asked={} \
              tokens.refused={} sessions.let_go={} epochs={}",
-            book.sessions(),
+            book.session_count(),
             book.bytes(),
-            c.exact,
-            c.instant,
-            c.carried,
-            c.asked,
-            c.refused_tokens,
-            c.evicted,
+            c.exact_reads,
+            c.current_instant_reads,
+            c.token_reads,
+            c.replicated_reads,
+            c.rejected_tokens,
+            c.evicted_sessions,
             c.epochs
         )
     }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -57,7 +57,7 @@
     .sign(&keys)
     .unwrap();
     assert_eq!(
-        SessionToken::read(&keys, &text, 77),
+        SessionToken::verify(&keys, &text, 77),
         Some(17_672_256_001_234)
     );
     insta::assert_snapshot!(text);
--- a/crates/sessions/src/clock_skew.rs
+++ b/crates/sessions/src/clock_skew.rs
@@ -35,7 +35,7 @@
     }
 
     /// Instant up to which anything may have been committed and answered, now.
-    pub fn instant(&self, now: Ticks) -> Ticks {
+    pub fn current_instant(&self, now: Ticks) -> Ticks {
         now + self.error + self.primary_lead
     }
 
@@ -51,7 +51,7 @@
 
     /// Whether a replica can have applied up to `position`: no log reaches past the present.
     pub fn is_plausible(&self, now: Ticks, position: Ticks) -> bool {
-        position <= self.instant(now)
+        position <= self.current_instant(now)
     }
 
     /// Compares both clocks; returns whether the wall clock has stepped since the last call.
--- a/crates/sessions/src/session_token.rs
+++ b/crates/sessions/src/session_token.rs
@@ -33,7 +33,7 @@
     }
 
     /// Position that `text` names for that session; `None` where it is no valid token.
-    pub fn read(keys: &Keys, text: &str, session: u64) -> Option<Ticks> {
+    pub fn verify(keys: &Keys, text: &str, session: u64) -> Option<Ticks> {
         let said = keys
             .verify_text(TOKEN_KIND, text, PAYLOAD_LENGTH, &session.to_be_bytes())
             .ok()?;
--- a/crates/sessions/src/tracker.rs
+++ b/crates/sessions/src/tracker.rs
@@ -70,17 +70,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionMetrics {
     /// Reads whose requirement is what the session wrote.
-    pub exact: u64,
+    pub exact_reads: u64,
     /// Reads that must see the current instant.
-    pub instant: u64,
+    pub current_instant_reads: u64,
     /// Reads with a valid token.
-    pub carried: u64,
+    pub token_reads: u64,
     /// Reads whose requirement the replica holders named.
-    pub asked: u64,
+    pub replicated_reads: u64,
     /// Tokens that were no valid ones.
-    pub refused_tokens: u64,
+    pub rejected_tokens: u64,
     /// Sessions evicted from the index.
-    pub evicted: u64,
+    pub evicted_sessions: u64,
     /// Epochs begun.
     pub epochs: u64,
 }
@@ -96,7 +96,7 @@
     /// Low watermark of the epoch: every session must see it unless known exactly from before.
     floor: Ticks,
     /// Counts since the start.
-    pub counts: SessionMetrics,
+    pub metrics: SessionMetrics,
     /// Positions to be persisted, until they are drained.
     records: Vec<SessionPosition>,
     last_sweep: Ticks,
@@ -120,8 +120,8 @@
             sketch: PositionSketch::new(config.sketch_width, SKETCH_SLICES, SKETCH_SLICE_SPAN),
             replica_wait: ReplicaWait::new(),
             random: Rng::with_seed(seed),
-            floor: clock.instant(now),
-            counts: SessionMetrics {
+            floor: clock.current_instant(now),
+            metrics: SessionMetrics {
                 epochs: 1,
                 ..SessionMetrics::default()
             },
@@ -135,8 +135,8 @@
     /// Forgets all that is known, as after a restart.
     pub fn begin_epoch(&mut self, now: Ticks) {
         self.index = SessionIndex::new(self.config.max_sessions, now - self.config.exact_for);
-        self.floor = self.floor.max(self.clock.instant(now));
-        self.counts.epochs += 1;
+        self.floor = self.floor.max(self.clock.current_instant(now));
+        self.metrics.epochs += 1;
     }
 
     /// Both clocks, now and then: a step of the one of the day ends the epoch. Whether it did.
@@ -170,7 +170,7 @@
     }
 
     fn evict(&mut self, session: u64, held: &SessionEntry) {
-        self.counts.evicted += 1;
+        self.metrics.evicted_sessions += 1;
         // Also the low watermark: a tracked session must see it.
         self.sketch.record(session, held.wrote.max(held.floor));
     }
@@ -193,8 +193,8 @@
     }
 
     /// Instant up to which anybody may have written.
-    pub fn instant(&self, now: Ticks) -> Ticks {
-        self.clock.instant(now)
+    pub fn current_instant(&self, now: Ticks) -> Ticks {
+        self.clock.current_instant(now)
     }
 
     /// A read of a session comes; `carried`: what a token that it carries names, checked; `asked`: what the holders of its
@@ -211,12 +211,12 @@
         self.sweep(now);
         self.replica_wait.on_session_read(set, now);
         let mut entry = self.entry(session);
-        let instant = self.clock.instant(now);
+        let instant = self.clock.current_instant(now);
         let seen = match carried {
             // A token from the future is invalid: no write was answered with it.
             Some(token) if token <= instant => SessionEvent::TokenRead,
             Some(_) => {
-                self.counts.refused_tokens += 1;
+                self.metrics.rejected_tokens += 1;
                 if self.gap(&entry, now) {
                     SessionEvent::ReadAfterGap
                 } else {
@@ -247,10 +247,10 @@
         self.keep(session, &entry);
         let exact = owes != ReadRequirement::CurrentInstant;
         match owes {
-            ReadRequirement::Token => self.counts.carried += 1,
-            ReadRequirement::CurrentInstant => self.counts.instant += 1,
-            ReadRequirement::Replicated => self.counts.asked += 1,
-            _ => self.counts.exact += 1,
+            ReadRequirement::Token => self.metrics.token_reads += 1,
+            ReadRequirement::CurrentInstant => self.metrics.current_instant_reads += 1,
+            ReadRequirement::Replicated => self.metrics.replicated_reads += 1,
+            _ => self.metrics.exact_reads += 1,
         }
         // Replicas have an older position by now, or are late for reasons that waiting does not mend.
         let fresh = now - token <= self.replica_wait.catch_up_time(set) * 2;
@@ -368,16 +368,16 @@
         let looks = ((now - self.last_sweep) / SWEEP_INTERVAL).min(100) as usize;
         self.last_sweep = now;
         let places = (self.config.max_sessions / SWEEP_CYCLE + 1) * looks;
-        let (sketch, counts) = (&mut self.sketch, &mut self.counts);
+        let (sketch, metrics) = (&mut self.sketch, &mut self.metrics);
         self.index
             .sweep(places, now - self.config.exact_for, |session, held| {
-                counts.evicted += 1;
+                metrics.evicted_sessions += 1;
                 sketch.record(session, held.wrote.max(held.floor));
             });
     }
 
     /// Sessions known exactly.
-    pub fn sessions(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.index.len()
     }
 
--- a/crates/sessions/tests/sessions.rs
+++ b/crates/sessions/tests/sessions.rs
@@ -285,7 +285,7 @@
         tracker.on_write(n << 24, wrote(n));
         tracker.on_write_answered(n << 24, wrote(n), Some(wrote(n)));
     }
-    assert!(tracker.sessions() <= 64 && tracker.counts.evicted > 1_900);
+    assert!(tracker.session_count() <= 64 && tracker.metrics.evicted_sessions > 1_900);
     for n in 1..2_000u64 {
         let debt = tracker.on_read(n << 24, 0, wrote(2_000), 4_000, None, None);
         assert!(debt.position >= wrote(n) && debt.exact, "{n}: {debt:?}");
@@ -310,23 +310,23 @@
     .unwrap();
     assert_eq!(
         (
-            SessionToken::read(&old, &text, 5),
-            SessionToken::read(&new, &text, 5)
+            SessionToken::verify(&old, &text, 5),
+            SessionToken::verify(&new, &text, 5)
         ),
         (Some(77), Some(77))
     );
     assert_eq!(
-        SessionToken::read(&old, &text, 6),
+        SessionToken::verify(&old, &text, 6),
         None,
         "another session's"
     );
     assert_eq!(
-        SessionToken::read(&Keys::new(vec![key(2, 8)]), &text, 5),
+        SessionToken::verify(&Keys::new(vec![key(2, 8)]), &text, 5),
         None,
         "a key that has gone"
     );
     assert_eq!(
-        SessionToken::read(
+        SessionToken::verify(
             &old,
             &SessionToken {
                 session: 5,
@@ -353,7 +353,7 @@
             if std::mem::replace(&mut forged[at], byte) != byte {
                 // The last digit's low bits say nothing, and are refused unless they are as they were.
                 assert_eq!(
-                    SessionToken::read(&old, std::str::from_utf8(&forged).unwrap(), 5),
+                    SessionToken::verify(&old, std::str::from_utf8(&forged).unwrap(), 5),
                     None,
                     "{at}"
                 );
@@ -362,8 +362,8 @@
     }
     assert_eq!(
         (
-            SessionToken::read(&old, "", 5),
-            SessionToken::read(&old, &text[1..], 5)
+            SessionToken::verify(&old, "", 5),
+            SessionToken::verify(&old, &text[1..], 5)
         ),
         (None, None)
     );
@@ -372,12 +372,12 @@
 #[test]
 fn primary_positions_reveal_clock_skew_and_replicas_ahead_are_implausible() {
     let mut clock = ClockSkew::new(10);
-    assert_eq!(clock.instant(BEGAN), BEGAN + 10);
+    assert_eq!(clock.current_instant(BEGAN), BEGAN + 10);
     clock.on_primary_position(BEGAN, BEGAN + 300);
-    assert_eq!(clock.instant(BEGAN), BEGAN + 310);
+    assert_eq!(clock.current_instant(BEGAN), BEGAN + 310);
     assert!(clock.is_plausible(BEGAN, BEGAN + 310) && !clock.is_plausible(BEGAN, BEGAN + 311));
     (0..1_000).for_each(|_| clock.on_primary_position(BEGAN, BEGAN - 5));
-    assert!(clock.instant(BEGAN) < BEGAN + 80);
+    assert!(clock.current_instant(BEGAN) < BEGAN + 80);
     let mut tracker = SessionTracker::new(
         SessionConfig {
             max_clock_skew: 10,
