--- a/crates/backpressure/src/buffer_pool.rs
+++ b/crates/backpressure/src/buffer_pool.rs
@@ -1,73 +1,74 @@
-//! Bytes held and reserved for connections in one direction, by the state of the connections, and who may hold more.
+//! Accounting of the buffer bytes held and reserved for connections in one direction, and the limits on them.
 
 use crate::limits::Limits;
 use crate::state::ConnectionState;
 
-/// Accounting of the buffers of one direction.
+/// Buffer bytes of one direction, by connection state and by tenant.
 #[derive(Clone, Debug, Default)]
 pub struct BufferPool {
     /// Bytes held, by connection state.
-    held: [usize; 4],
+    held_by_state: [usize; 4],
     /// Bytes reserved for admitted requests, by connection state.
-    reserved: [usize; 4],
-    /// Bytes held or reserved for the unproven connections of each tenant.
-    tenants: Vec<usize>,
+    reserved_by_state: [usize; 4],
+    /// Bytes held or reserved for the connections of each tenant that are not proven.
+    tenant_bytes: Vec<usize>,
     peak: usize,
 }
 
-/// What one connection holds in one pool, in bytes.
+/// Bytes of one connection in one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BufferShare {
-    /// Held now.
+    /// Bytes held now.
     pub held: usize,
-    /// Reserved for what is expected.
+    /// Bytes reserved for messages that are expected.
     pub reserved: usize,
 }
 
 impl BufferPool {
-    /// An empty pool for this many tenants.
+    /// Creates an empty pool for this many tenants.
     pub fn new(tenants: usize) -> BufferPool {
         BufferPool {
-            tenants: vec![0; tenants.max(1)],
+            tenant_bytes: vec![0; tenants.max(1)],
             ..BufferPool::default()
         }
     }
 
-    /// Whether `bytes` more may be held for a connection; `with_reservations` counts those of others, too.
+    /// Whether `bytes` more may be held for a connection; with `with_reservations`, reserved bytes count as held in the
+    /// limits by connection state.
     pub fn can_hold(
         &self,
         limits: &Limits,
         state: ConnectionState,
         tenant: usize,
-        of: &BufferShare,
+        share: &BufferShare,
         bytes: usize,
         with_reservations: bool,
     ) -> bool {
-        let sum = |states: &[ConnectionState]| -> usize {
-            let of_state = |s: &ConnectionState| {
-                self.held[*s as usize]
+        let total_of = |states: &[ConnectionState]| -> usize {
+            let bytes_in_state = |counted: &ConnectionState| {
+                self.held_by_state[*counted as usize]
                     + if with_reservations {
-                        self.reserved[*s as usize]
+                        self.reserved_by_state[*counted as usize]
                     } else {
                         0
                     }
             };
-            states.iter().map(of_state).sum()
+            states.iter().map(bytes_in_state).sum()
         };
-        let fits_all = self.held() + bytes <= limits.total;
-        if !limits.enabled || !fits_all {
-            return fits_all;
+        let fits_total = self.held() + bytes <= limits.total;
+        if !limits.enabled || !fits_total {
+            return fits_total;
         }
-        let one = of.held + bytes <= limits.per_connection;
-        // With a single tenant its slow connections are bounded by the limit on all of them.
-        let tenant = self.tenants.len() == 1
+        let fits_connection = share.held + bytes <= limits.per_connection;
+        // A single tenant's connections are bounded by the limits on all connections.
+        let fits_tenant = self.tenant_bytes.len() == 1
             || state == ConnectionState::Proven
-            || self.tenants[tenant] - of.reserved.min(self.tenants[tenant]) + bytes
+            || self.tenant_bytes[tenant] - share.reserved.min(self.tenant_bytes[tenant]) + bytes
                 <= limits.per_tenant;
-        let tier = match state {
+        let fits_state = match state {
             ConnectionState::Proven => true,
             ConnectionState::Unproven => {
-                sum(&[
+                total_of(&[
                     ConnectionState::Unproven,
                     ConnectionState::Slow,
                     ConnectionState::Stalled,
@@ -75,108 +76,112 @@
                     <= limits.unproven_total
             }
             ConnectionState::Slow | ConnectionState::Stalled => {
-                sum(&[ConnectionState::Slow, ConnectionState::Stalled]) + bytes <= limits.slow_total
+                total_of(&[ConnectionState::Slow, ConnectionState::Stalled]) + bytes
+                    <= limits.slow_total
             }
         };
-        one && tenant && tier
+        fits_connection && fits_tenant && fits_state
     }
 
-    /// Holds `bytes`, those of a reservation first.
+    /// Holds `bytes`, which are taken from the connection's reservation first.
     pub fn hold(
         &mut self,
         state: ConnectionState,
         tenant: usize,
-        of: &mut BufferShare,
+        share: &mut BufferShare,
         bytes: usize,
     ) {
-        let kept = of.reserved.min(bytes);
-        self.cancel_reservation(state, tenant, of, kept);
-        of.held += bytes;
-        self.held[state as usize] += bytes;
+        let from_reservation = share.reserved.min(bytes);
+        self.cancel_reservation(state, tenant, share, from_reservation);
+        share.held += bytes;
+        self.held_by_state[state as usize] += bytes;
         self.charge_tenant(state, tenant, bytes as isize);
         self.peak = self.peak.max(self.held());
     }
 
-    /// Releases `bytes` that were held.
+    /// Releases `bytes`, at most what the connection holds.
     pub fn release(
         &mut self,
         state: ConnectionState,
         tenant: usize,
-        of: &mut BufferShare,
+        share: &mut BufferShare,
         bytes: usize,
     ) {
-        let bytes = bytes.min(of.held);
-        of.held -= bytes;
-        self.held[state as usize] -= bytes;
+        let bytes = bytes.min(share.held);
+        share.held -= bytes;
+        self.held_by_state[state as usize] -= bytes;
         self.charge_tenant(state, tenant, -(bytes as isize));
     }
 
-    /// Reserves `bytes`.
+    /// Reserves `bytes` without checking the limits.
     pub fn reserve(
         &mut self,
         state: ConnectionState,
         tenant: usize,
-        of: &mut BufferShare,
+        share: &mut BufferShare,
         bytes: usize,
     ) {
-        of.reserved += bytes;
-        self.reserved[state as usize] += bytes;
+        share.reserved += bytes;
+        self.reserved_by_state[state as usize] += bytes;
         self.charge_tenant(state, tenant, bytes as isize);
     }
 
-    /// Gives up a reservation of `bytes`.
+    /// Cancels a reservation of `bytes`, at most what is reserved for the connection.
     pub fn cancel_reservation(
         &mut self,
         state: ConnectionState,
         tenant: usize,
-        of: &mut BufferShare,
+        share: &mut BufferShare,
         bytes: usize,
     ) {
-        let bytes = bytes.min(of.reserved);
-        of.reserved -= bytes;
-        self.reserved[state as usize] -= bytes;
+        let bytes = bytes.min(share.reserved);
+        share.reserved -= bytes;
+        self.reserved_by_state[state as usize] -= bytes;
         self.charge_tenant(state, tenant, -(bytes as isize));
     }
 
-    /// A connection has moved to another state or tenant.
+    /// Moves the bytes of a connection from its old state and tenant to its new ones.
     pub fn on_state_changed(
         &mut self,
-        (old, from): (ConnectionState, usize),
-        (new, to): (ConnectionState, usize),
-        of: &BufferShare,
+        (old_state, old_tenant): (ConnectionState, usize),
+        (new_state, new_tenant): (ConnectionState, usize),
+        share: &BufferShare,
     ) {
-        for (counts, bytes) in [(&mut self.held, of.held), (&mut self.reserved, of.reserved)] {
-            counts[old as usize] -= bytes;
-            counts[new as usize] += bytes;
+        for (totals, bytes) in [
+            (&mut self.held_by_state, share.held),
+            (&mut self.reserved_by_state, share.reserved),
+        ] {
+            totals[old_state as usize] -= bytes;
+            totals[new_state as usize] += bytes;
         }
-        let bytes = (of.held + of.reserved) as isize;
-        self.charge_tenant(old, from, -bytes);
-        self.charge_tenant(new, to, bytes);
+        let bytes = (share.held + share.reserved) as isize;
+        self.charge_tenant(old_state, old_tenant, -bytes);
+        self.charge_tenant(new_state, new_tenant, bytes);
     }
 
     fn charge_tenant(&mut self, state: ConnectionState, tenant: usize, bytes: isize) {
         if state != ConnectionState::Proven {
-            let charged = &mut self.tenants[tenant];
+            let charged = &mut self.tenant_bytes[tenant];
             *charged = charged.saturating_add_signed(bytes);
         }
     }
 
-    /// Bytes held for all.
+    /// Bytes held for all connections.
     pub fn held(&self) -> usize {
-        self.held.iter().sum()
+        self.held_by_state.iter().sum()
     }
 
-    /// Bytes reserved for all.
+    /// Bytes reserved for all connections.
     pub fn reserved(&self) -> usize {
-        self.reserved.iter().sum()
+        self.reserved_by_state.iter().sum()
     }
 
-    /// Bytes held or reserved for a tenant's unproven connections.
-    pub fn of_tenant(&self, tenant: usize) -> usize {
-        self.tenants[tenant]
+    /// Bytes held or reserved for the connections of a tenant that are not proven.
+    pub fn tenant_bytes(&self, tenant: usize) -> usize {
+        self.tenant_bytes[tenant]
     }
 
-    /// Most bytes ever held at once.
+    /// Highest number of bytes held at once since the start.
     pub fn peak(&self) -> usize {
         self.peak
     }
--- a/crates/backpressure/src/connections.rs
+++ b/crates/backpressure/src/connections.rs
@@ -1,6 +1,7 @@
-//! All client connections of a gateway: the throughput, state and buffer share of each, and what follows from them.
+//! All client connections of a gateway: their throughput, state and buffered bytes, and the decisions on admission and
+//! eviction that follow from them.
 //!
-//! The gateway keeps an index for each connection and reports what it sees; it closes connections itself.
+//! The gateway stores the index of each connection and reports its events; it closes connections itself.
 //!
 //! # Invariants
 //!
@@ -11,176 +12,191 @@
 use crate::eviction_order::{EvictionOrder, EvictionRank};
 use crate::limits::Limits;
 use crate::response_size::ResponseSizes;
-use crate::state::{self, Action, ConnectionState, Reading};
+use crate::state::{self, Action, ConnectionState, TransferAssessment};
 use crate::throughput::ThroughputMeter;
 
-/// What bytes are held for.
+/// Purpose for which buffer bytes are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferKind {
-    /// A request on its way in.
+    /// A request that is being received.
     Request,
-    /// A response on its way out.
+    /// A response that is being sent.
     Response,
 }
 
-/// Whether a connection's next request is admitted.
+/// Decision on a connection's next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is.
+    /// The request is admitted.
     Admit,
-    /// It is shed; the client is to retry after this long.
+    /// The request is shed; the client is to retry after this time, in ticks.
     Shed(Ticks),
 }
 
-/// Who is evicted for another connection.
+/// Connection to evict in favour of a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionCandidate {
-    /// This connection, at once.
+    /// The connection with this index, at once.
     Connection(usize),
     /// The connection that has been idle for longest.
     LongestIdle,
-    /// The same among unproven connections only: there are not many proven ones.
+    /// The connection that is not proven and has been idle for longest, as there are few proven ones.
     LongestIdleUnproven,
 }
 
-/// Responses drained at a good rate that make a connection a proven one, however short they are.
-const SHORT_PROOFS: usize = 16;
+/// Number of responses drained at a good rate that prove a connection, however short they are: each counts for at least
+/// this fraction of the proof.
+const RESPONSES_TO_PROVE: usize = 16;
 
 #[derive(Clone, Debug, Default)]
 struct Connection {
     state: ConnectionState,
     tenant: usize,
-    /// Class of its last request.
+    /// Class of the last admitted request.
     class: usize,
-    /// Throughput of responses that go out, and of requests that come in.
-    out: ThroughputMeter,
-    into: ThroughputMeter,
+    /// Throughput of outgoing responses.
+    outgoing: ThroughputMeter,
+    /// Throughput of incoming requests.
+    incoming: ThroughputMeter,
+    /// Buffer bytes by [`BufferKind`].
     shares: [BufferShare; 2],
-    /// Bytes drained at a good rate since it was last proven or slow.
-    credit: usize,
-    /// Whether what goes out has a row in it.
-    transition: bool,
-    /// Estimated size of its responses, once it has had one.
+    /// Bytes drained at a good rate since the connection was last proven or fell below a good rate.
+    proof_credit: usize,
+    /// Whether the outgoing bytes include a row.
+    sends_row: bool,
+    /// Estimated size of the connection's responses, in bytes; `None` before the first of them.
     own_estimate: Option<usize>,
-    /// Until then a complete final answer is due to it.
+    /// Time until which a complete answer is due to the client.
     answer_due_until: Ticks,
-    /// Its index in `unread_connections`.
+    /// Index of the connection in `unread_connections`.
     unread_index: Option<usize>,
 }
 
-/// Client connections by index.
+/// Client connections of a gateway, by index.
 pub struct Connections {
     limits: Limits,
     connections: Vec<Connection>,
-    free: Vec<usize>,
+    free_ids: Vec<usize>,
     pools: [BufferPool; 2],
-    order: EvictionOrder,
-    sizes: ResponseSizes,
-    /// Connections with unread responses, in no order.
+    eviction_order: EvictionOrder,
+    response_sizes: ResponseSizes,
+    /// Indexes of the connections with unread responses, in no order.
     unread_connections: Vec<usize>,
-    /// Connections by state.
-    counts: [usize; 4],
+    /// Number of connections by state.
+    counts_by_state: [usize; 4],
     random: fastrand::Rng,
-    evicted: u64,
-    shed: u64,
+    evicted_total: u64,
+    shed_total: u64,
 }
 
 impl Connections {
-    /// No connections yet; `unclaimed` bytes of a response need no reservation, `seed` spreads retries.
+    /// Creates an empty table.
+    ///
+    /// `unreserved` bytes of a response need no reservation. `seed` is for the random part of retry times.
     pub fn new(
         limits: Limits,
         classes: usize,
         tenants: usize,
-        unclaimed: usize,
+        unreserved: usize,
         seed: u64,
     ) -> Connections {
         let pool = BufferPool::new(tenants);
         Connections {
             limits,
             connections: Vec::new(),
-            free: Vec::new(),
+            free_ids: Vec::new(),
             pools: [pool.clone(), pool],
-            order: EvictionOrder::default(),
-            sizes: ResponseSizes::new(classes, unclaimed),
+            eviction_order: EvictionOrder::default(),
+            response_sizes: ResponseSizes::new(classes, unreserved),
             unread_connections: Vec::new(),
-            counts: [0; 4],
+            counts_by_state: [0; 4],
             random: fastrand::Rng::with_seed(seed),
-            evicted: 0,
-            shed: 0,
+            evicted_total: 0,
+            shed_total: 0,
         }
     }
 
-    /// The limits in force.
+    /// Current limits.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Replaces the limits; what is held stays held.
+    /// Replaces the limits; bytes already held beyond them stay held.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
     /// Adds a connection and returns its index.
     pub fn open(&mut self) -> usize {
-        let id = self.free.pop().unwrap_or(self.connections.len());
+        let id = self.free_ids.pop().unwrap_or(self.connections.len());
         if id == self.connections.len() {
             self.connections.push(Connection::default());
         }
-        self.counts[ConnectionState::Unproven as usize] += 1;
+        self.counts_by_state[ConnectionState::Unproven as usize] += 1;
         id
     }
 
-    /// Removes a connection and releases all that is held for it.
+    /// Removes a connection and releases its held and reserved bytes.
     pub fn close(&mut self, id: usize) {
-        self.done(id);
-        self.order.remove(id);
+        self.clear_unread(id);
+        self.eviction_order.remove(id);
         let connection = &mut self.connections[id];
         for (pool, share) in self.pools.iter_mut().zip(&mut connection.shares) {
             let BufferShare { held, reserved } = *share;
             pool.cancel_reservation(connection.state, connection.tenant, share, reserved);
             pool.release(connection.state, connection.tenant, share, held);
         }
-        self.counts[connection.state as usize] -= 1;
+        self.counts_by_state[connection.state as usize] -= 1;
         *connection = Connection::default();
-        self.free.push(id);
+        self.free_ids.push(id);
     }
 
-    /// Whether a request is admitted; if so, the expected size of its response is reserved.
+    /// Decides whether a request is admitted.
+    ///
+    /// If so, the expected size of its response is reserved where the connection is not proven. `deadline` is the time
+    /// until which an answer is due.
     pub fn admit(
         &mut self,
         now: Ticks,
         id: usize,
         class: usize,
         tenant: usize,
-        ends: Ticks,
+        deadline: Ticks,
     ) -> Admission {
         self.on_state_changed(id, self.connections[id].state, tenant);
         let connection = &mut self.connections[id];
         let pool = &mut self.pools[BufferKind::Response as usize];
         let share = &mut connection.shares[BufferKind::Response as usize];
-        // By its own responses where it has had any, so that one with small responses is not judged by its class.
-        let likely = self.sizes.expected(connection.own_estimate, class);
-        let likely = likely.min(self.limits.per_connection.saturating_sub(share.held));
+        // A connection that has had responses is judged by their sizes, not by those of the whole request class.
+        let expected = self.response_sizes.expected(connection.own_estimate, class);
+        let expected = expected.min(self.limits.per_connection.saturating_sub(share.held));
         if self.limits.enabled && connection.state != ConnectionState::Proven {
-            let untaken = connection.out.waiting();
-            let too_much = untaken > 0 && untaken + likely > self.limits.per_connection;
-            let stands = connection.state == ConnectionState::Stalled && untaken > 0;
-            let finds_room = likely == 0
-                || pool.can_hold(&self.limits, connection.state, tenant, share, likely, true);
-            if too_much || stands || !finds_room {
-                self.shed += 1;
+            let unread = connection.outgoing.pending();
+            let exceeds_limit = unread > 0 && unread + expected > self.limits.per_connection;
+            let is_stalled = connection.state == ConnectionState::Stalled && unread > 0;
+            let fits_pool = expected == 0
+                || pool.can_hold(
+                    &self.limits,
+                    connection.state,
+                    tenant,
+                    share,
+                    expected,
+                    true,
+                );
+            if exceeds_limit || is_stalled || !fits_pool {
+                self.shed_total += 1;
                 let retry_after = self.limits.retry_after.max(1);
                 return Admission::Shed(retry_after + self.random.i64(0..=retry_after));
             }
-            pool.reserve(connection.state, tenant, share, likely);
+            pool.reserve(connection.state, tenant, share, expected);
         }
-        connection.answer_due_until = connection.answer_due_until.max(ends);
+        connection.answer_due_until = connection.answer_due_until.max(deadline);
         connection.class = class;
-        self.rank(now, id);
+        self.update_rank(now, id);
         Admission::Admit
     }
 
-    /// Tries to hold `bytes` more for a connection.
+    /// Tries to hold `bytes` more for a connection; returns whether they are held.
     pub fn claim(&mut self, kind: BufferKind, id: usize, bytes: usize) -> bool {
         let (connection, pool) = (&mut self.connections[id], &mut self.pools[kind as usize]);
         let share = &mut connection.shares[kind as usize];
@@ -195,8 +211,9 @@
         if granted {
             pool.hold(connection.state, connection.tenant, share, bytes);
             if kind == BufferKind::Response {
-                // Larger responses than usual count before the first of them is complete.
-                self.sizes.record_partial(connection.class, share.held);
+                // A growing response raises the estimate of its class before it is complete.
+                self.response_sizes
+                    .record_partial(connection.class, share.held);
             }
         }
         granted
@@ -213,14 +230,17 @@
         );
     }
 
-    /// A response of `bytes` begins to go out, due until `ends`; `class` is the request's where it has a row.
+    /// Records that a response of `bytes`, due until `deadline`, starts to be sent.
+    ///
+    /// The connection's reservation is cancelled. `class` is the request class of a response that is a row, `None` for
+    /// an error.
     pub fn on_response_started(
         &mut self,
         now: Ticks,
         id: usize,
         class: Option<usize>,
         bytes: usize,
-        ends: Ticks,
+        deadline: Ticks,
     ) {
         let (connection, pool) = (
             &mut self.connections[id],
@@ -230,168 +250,181 @@
         let reserved = share.reserved;
         pool.cancel_reservation(connection.state, connection.tenant, share, reserved);
         if let Some(class) = class {
-            self.sizes
+            self.response_sizes
                 .record(&mut connection.own_estimate, class, bytes);
         }
-        connection.transition =
-            class.is_some() || (connection.transition && connection.out.waiting() > 0);
-        connection.out.add(now, bytes);
-        connection.answer_due_until = ends;
+        connection.sends_row =
+            class.is_some() || (connection.sends_row && connection.outgoing.pending() > 0);
+        connection.outgoing.add_pending(now, bytes);
+        connection.answer_due_until = deadline;
     }
 
-    /// The client has read all of its response.
+    /// Records that the client has read all of its responses.
     pub fn on_response_drained(&mut self, now: Ticks, id: usize) -> Action {
         self.on_response_progress(now, id, 0)
     }
 
-    /// `bytes` of the response have not been read yet.
+    /// Records that all but `bytes` of the responses were read.
     pub fn on_response_progress(&mut self, now: Ticks, id: usize, bytes: usize) -> Action {
         let connection = &mut self.connections[id];
-        if connection.out.waiting() == 0 {
+        if connection.outgoing.pending() == 0 {
             return Action::Keep;
         }
-        connection.out.left(now, bytes);
-        let short = connection.out.waiting() <= self.limits.small_message;
-        // Errors prove nothing: a client that is shed again and again would be proven by them.
-        let worth = if connection.transition {
+        connection.outgoing.set_pending(now, bytes);
+        let small = connection.outgoing.pending() <= self.limits.small_message;
+        // Errors are no proof: they would prove a client that is shed again and again.
+        let earned_credit = if connection.sends_row {
             connection
-                .out
-                .moved_total()
-                .max(self.limits.proof_bytes.div_ceil(SHORT_PROOFS))
+                .outgoing
+                .transferred()
+                .max(self.limits.proof_bytes.div_ceil(RESPONSES_TO_PROVE))
         } else {
             0
         };
-        let input = state::reading(
-            &connection.out,
+        let assessment = state::assess(
+            &connection.outgoing,
             now,
             &self.limits,
-            connection.credit + worth,
-            short,
+            connection.proof_credit + earned_credit,
+            small,
         );
-        connection.credit = match input {
-            Reading::DrainedLittle if state::drained_well(&connection.out, now, &self.limits) => {
-                connection.credit + worth
-            }
-            Reading::TooEarly | Reading::Good | Reading::DrainedLittle => connection.credit,
-            Reading::DrainedMuch | Reading::Marginal | Reading::BelowMinimum | Reading::Stopped => {
-                0
+        connection.proof_credit = match assessment {
+            TransferAssessment::DrainedInconclusive
+                if state::has_good_mean_rate(&connection.outgoing, now, &self.limits) =>
+            {
+                connection.proof_credit + earned_credit
             }
+            TransferAssessment::TooEarly
+            | TransferAssessment::Good
+            | TransferAssessment::DrainedInconclusive => connection.proof_credit,
+            TransferAssessment::DrainedFast
+            | TransferAssessment::Marginal
+            | TransferAssessment::BelowMinimum
+            | TransferAssessment::Stopped => 0,
         };
         let answer_due = now < connection.answer_due_until;
-        let effect = self.step(id, input, answer_due);
+        let action = self.apply_assessment(id, assessment, answer_due);
         match (bytes, self.connections[id].unread_index) {
-            (0, _) => self.done(id),
+            (0, _) => self.clear_unread(id),
             (_, None) => {
                 self.connections[id].unread_index = Some(self.unread_connections.len());
                 self.unread_connections.push(id);
             }
             _ => {}
         }
-        self.rank(now, id);
-        effect
+        self.update_rank(now, id);
+        action
     }
 
-    /// Bytes of an incomplete message have come.
+    /// Records received bytes of an incomplete message.
     pub fn on_bytes_received(&mut self, now: Ticks, id: usize, bytes: usize) {
-        self.connections[id].into.on_bytes_received(now, bytes);
+        self.connections[id].incoming.on_bytes_received(now, bytes);
     }
 
-    /// Excludes time in which the gateway did not read, for lack of buffer.
+    /// Excludes a span in which the gateway did not read from the connection, for lack of buffer.
     pub fn exclude_wait(&mut self, id: usize, span: Ticks) {
-        self.connections[id].into.exclude_wait(span);
+        self.connections[id].incoming.exclude_wait(span);
     }
 
-    /// The message is complete.
+    /// Records that the message that is being received is complete.
     pub fn on_message_complete(&mut self, id: usize) {
-        self.connections[id].into.clear();
-        if self.order.rank(id) == Some(EvictionRank::IncompleteMessage) {
-            self.order.remove(id);
+        self.connections[id].incoming.clear();
+        if self.eviction_order.rank(id) == Some(EvictionRank::IncompleteMessage) {
+            self.eviction_order.remove(id);
         }
     }
 
-    /// When to check an incomplete message next, never before its grace has passed; `None` if it is to be evicted.
+    /// Time of the next check of an incomplete message; `None` if the connection is to be evicted.
+    ///
+    /// A message is not checked before its grace has passed.
     pub fn incomplete_message_deadline(&mut self, now: Ticks, id: usize) -> Option<Ticks> {
         let connection = &self.connections[id];
-        let grace_ends = now - connection.into.age(now) + self.limits.grace;
-        if connection.into.waiting() == 0 || now < grace_ends {
+        let grace_ends = now - connection.incoming.age(now) + self.limits.grace;
+        if connection.incoming.pending() == 0 || now < grace_ends {
             return Some(grace_ends.max(now + 1));
         }
-        let input = state::reading(&connection.into, now, &self.limits, 0, false);
-        if !self.limits.enabled || self.step(id, input, false) == Action::Evict {
+        let assessment = state::assess(&connection.incoming, now, &self.limits, 0, false);
+        if !self.limits.enabled || self.apply_assessment(id, assessment, false) == Action::Evict {
             return None;
         }
-        if self.order.rank(id).is_none() {
-            self.order.insert(id, EvictionRank::IncompleteMessage);
+        if self.eviction_order.rank(id).is_none() {
+            self.eviction_order
+                .insert(id, EvictionRank::IncompleteMessage);
         }
         Some(now + crate::throughput::WINDOW)
     }
 
-    fn step(&mut self, id: usize, input: Reading, answer_due: bool) -> Action {
+    fn apply_assessment(
+        &mut self,
+        id: usize,
+        assessment: TransferAssessment,
+        answer_due: bool,
+    ) -> Action {
         if !self.limits.enabled {
             return Action::Keep;
         }
-        let (next, effect) = state::next(self.connections[id].state, input, answer_due);
+        let (next, action) = state::next_state(self.connections[id].state, assessment, answer_due);
         self.on_state_changed(id, next, self.connections[id].tenant);
-        if effect == Action::Evict {
-            self.evicted += 1;
+        if action == Action::Evict {
+            self.evicted_total += 1;
         }
-        effect
+        action
     }
 
-    /// Moves a connection, with all that is held for it, to a state and tenant.
+    /// Moves a connection, with its held and reserved bytes, to a state and tenant.
     fn on_state_changed(&mut self, id: usize, state: ConnectionState, tenant: usize) {
         let connection = &mut self.connections[id];
         let (old, new) = ((connection.state, connection.tenant), (state, tenant));
         if old == new {
             return;
         }
-        self.counts[old.0 as usize] -= 1;
-        self.counts[state as usize] += 1;
+        self.counts_by_state[old.0 as usize] -= 1;
+        self.counts_by_state[state as usize] += 1;
         for (pool, share) in self.pools.iter_mut().zip(&connection.shares) {
             pool.on_state_changed(old, new, share);
         }
         (connection.state, connection.tenant) = new;
     }
 
-    /// Updates its place in the eviction order.
-    fn rank(&mut self, now: Ticks, id: usize) {
+    /// Updates the rank of a connection in the eviction order.
+    fn update_rank(&mut self, now: Ticks, id: usize) {
         let connection = &self.connections[id];
-        if connection.out.waiting() > 0 && now >= connection.answer_due_until {
+        if connection.outgoing.pending() > 0 && now >= connection.answer_due_until {
             let rank = match connection.state {
                 ConnectionState::Stalled => EvictionRank::StalledPastDeadline,
                 ConnectionState::Slow => EvictionRank::SlowPastDeadline,
                 ConnectionState::Unproven | ConnectionState::Proven => EvictionRank::PastDeadline,
             };
-            self.order.insert(id, rank);
-        } else if self.order.rank(id) != Some(EvictionRank::IncompleteMessage) {
-            self.order.remove(id);
+            self.eviction_order.insert(id, rank);
+        } else if self.eviction_order.rank(id) != Some(EvictionRank::IncompleteMessage) {
+            self.eviction_order.remove(id);
         }
     }
 
-    /// The client has read everything.
-    fn done(&mut self, id: usize) {
+    /// Clears the unread bytes of a connection.
+    fn clear_unread(&mut self, id: usize) {
         let connection = &mut self.connections[id];
-        connection.out.clear();
-        if let Some(at) = connection.unread_index.take() {
-            self.unread_connections.swap_remove(at);
-            if let Some(moved) = self.unread_connections.get(at) {
-                self.connections[*moved].unread_index = Some(at);
+        connection.outgoing.clear();
+        if let Some(index) = connection.unread_index.take() {
+            self.unread_connections.swap_remove(index);
+            if let Some(moved) = self.unread_connections.get(index) {
+                self.connections[*moved].unread_index = Some(index);
             }
         }
     }
 
-    /// Who is evicted for one more connection.
+    /// Connection to evict in favour of a new one; a connection that is returned by its index counts as evicted.
     pub fn eviction_candidate(&mut self) -> EvictionCandidate {
         if !self.limits.enabled {
             return EvictionCandidate::LongestIdle;
         }
-        if let Some(first) = self.order.first() {
-            // Returned once: the gateway closes it now.
-            self.order.remove(first);
-            self.evicted += 1;
+        if let Some(first) = self.eviction_order.first() {
+            // Removed, so that it is returned only once: the gateway closes it now.
+            self.eviction_order.remove(first);
+            self.evicted_total += 1;
             return EvictionCandidate::Connection(first);
         }
-        let proven = self.counts[ConnectionState::Proven as usize];
+        let proven = self.counts_by_state[ConnectionState::Proven as usize];
         if proven > self.limits.protected_connections {
             EvictionCandidate::LongestIdle
         } else {
@@ -399,14 +432,14 @@
         }
     }
 
-    /// Connections with unread responses.
+    /// Indexes of the connections with unread responses, in no order.
     pub fn unread_connections(&self) -> &[usize] {
         &self.unread_connections
     }
 
-    /// Bytes that the client has not read yet.
+    /// Number of response bytes that the client has not read yet.
     pub fn unread(&self, id: usize) -> usize {
-        self.connections[id].out.waiting()
+        self.connections[id].outgoing.pending()
     }
 
     /// State of a connection.
@@ -414,30 +447,33 @@
         self.connections[id].state
     }
 
-    /// Bytes a second, bytes that wait and for how long.
+    /// Rate in bytes a second, number of pending bytes, and age in ticks of the transfer in progress.
+    ///
+    /// Refers to the outgoing responses where any are unread, else to the incoming request.
     pub fn metrics(&self, now: Ticks, id: usize) -> (u64, usize, Ticks) {
         let connection = &self.connections[id];
-        let meter = if connection.out.waiting() > 0 {
-            &connection.out
+        let meter = if connection.outgoing.pending() > 0 {
+            &connection.outgoing
         } else {
-            &connection.into
+            &connection.incoming
         };
-        let held = connection.out.waiting() + connection.shares[BufferKind::Request as usize].held;
+        let held =
+            connection.outgoing.pending() + connection.shares[BufferKind::Request as usize].held;
         (meter.rate(now), held, meter.age(now))
     }
 
-    /// Buffers held in one direction.
+    /// Buffer bytes held for requests or for responses.
     pub fn pool(&self, kind: BufferKind) -> &BufferPool {
         &self.pools[kind as usize]
     }
 
-    /// Connections by state, in the order of [`ConnectionState::ALL`].
+    /// Number of connections by state, in the order of [`ConnectionState::ALL`].
     pub fn counts_by_state(&self) -> [usize; 4] {
-        self.counts
+        self.counts_by_state
     }
 
-    /// Connections evicted and requests shed so far.
+    /// Number of connections evicted and of requests shed since the start.
     pub fn evicted_and_shed(&self) -> (u64, u64) {
-        (self.evicted, self.shed)
+        (self.evicted_total, self.shed_total)
     }
 }
--- a/crates/backpressure/src/eviction_order.rs
+++ b/crates/backpressure/src/eviction_order.rs
@@ -1,111 +1,114 @@
-//! Order in which connections are evicted: an intrusive list per rank, oldest first.
+//! Order in which connections are evicted: a doubly linked list per rank, the oldest entry first.
 //!
-//! Insertion, removal and lookup of the first take constant time.
+//! Insertion, removal and lookup of the first connection take constant time.
 
-/// Why a connection may be evicted, the best reason first.
+/// Reason for which a connection may be evicted, in descending order of priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EvictionRank {
-    /// It reads nothing, and its client deadline has passed.
+    /// The client reads nothing, and its deadline has passed.
     StalledPastDeadline,
-    /// It is slow, and its client deadline has passed.
+    /// The client reads slowly, and its deadline has passed.
     SlowPastDeadline,
-    /// Its message has been incomplete for a while.
+    /// The client has not completed a message within the grace.
     IncompleteMessage,
-    /// Its client deadline has passed with something unread, whatever it has shown before.
+    /// The client's deadline has passed with bytes unread, whatever its earlier rate.
     PastDeadline,
 }
 
 const RANKS: usize = 4;
+/// Marks the end of a list.
 const NONE: u32 = u32::MAX;
 
+/// Links of one connection within the list of its rank.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Links {
     rank: Option<EvictionRank>,
-    before: u32,
-    behind: u32,
+    previous: u32,
+    next: u32,
 }
 
-const OUT: Place = Place {
+const UNLINKED: Links = Links {
     rank: None,
-    before: NONE,
-    behind: NONE,
+    previous: NONE,
+    next: NONE,
 };
 
-/// Connections that may be evicted, by rank and age.
+/// Connections that may be evicted, by rank and by time of insertion.
 #[derive(Clone, Debug)]
 pub struct EvictionOrder {
-    places: Vec<Place>,
-    first: [u32; RANKS],
-    last: [u32; RANKS],
+    /// Links by connection index.
+    links: Vec<Links>,
+    heads: [u32; RANKS],
+    tails: [u32; RANKS],
 }
 
 impl Default for EvictionOrder {
     fn default() -> EvictionOrder {
         EvictionOrder {
-            places: Vec::new(),
-            first: [NONE; RANKS],
-            last: [NONE; RANKS],
+            links: Vec::new(),
+            heads: [NONE; RANKS],
+            tails: [NONE; RANKS],
         }
     }
 }
 
 impl EvictionOrder {
-    /// Appends a connection to a rank; one that is in it already keeps its place.
+    /// Appends a connection to the list of a rank; one that is in that list already keeps its position.
     pub fn insert(&mut self, connection: usize, rank: EvictionRank) {
-        if self.places.len() <= connection {
-            self.places.resize(connection + 1, OUT);
+        if self.links.len() <= connection {
+            self.links.resize(connection + 1, UNLINKED);
         }
-        if self.places[connection].rank == Some(rank) {
+        if self.links[connection].rank == Some(rank) {
             return;
         }
         self.remove(connection);
-        let (at, last) = (rank as usize, self.last[rank as usize]);
-        self.places[connection] = Place {
+        let (list, tail) = (rank as usize, self.tails[rank as usize]);
+        self.links[connection] = Links {
             rank: Some(rank),
-            before: last,
-            behind: NONE,
+            previous: tail,
+            next: NONE,
         };
-        match last {
-            NONE => self.first[at] = connection as u32,
-            last => self.places[last as usize].behind = connection as u32,
+        match tail {
+            NONE => self.heads[list] = connection as u32,
+            tail => self.links[tail as usize].next = connection as u32,
         }
-        self.last[at] = connection as u32;
+        self.tails[list] = connection as u32;
     }
 
-    /// Removes a connection from its rank.
+    /// Removes a connection from the list of its rank, if it is in one.
     pub fn remove(&mut self, connection: usize) {
-        let Some(place) = self.places.get_mut(connection) else {
+        let Some(links) = self.links.get_mut(connection) else {
             return;
         };
-        let Place {
+        let Links {
             rank: Some(rank),
-            before,
-            behind,
-        } = std::mem::replace(place, OUT)
+            previous,
+            next,
+        } = std::mem::replace(links, UNLINKED)
         else {
             return;
         };
-        let at = rank as usize;
-        match before {
-            NONE => self.first[at] = behind,
-            before => self.places[before as usize].behind = behind,
+        let list = rank as usize;
+        match previous {
+            NONE => self.heads[list] = next,
+            previous => self.links[previous as usize].next = next,
         }
-        match behind {
-            NONE => self.last[at] = before,
-            behind => self.places[behind as usize].before = before,
+        match next {
+            NONE => self.tails[list] = previous,
+            next => self.links[next as usize].previous = previous,
         }
     }
 
-    /// Rank of a connection, if any.
+    /// Rank of a connection; `None` if it is in no list.
     pub fn rank(&self, connection: usize) -> Option<EvictionRank> {
-        self.places.get(connection).and_then(|place| place.rank)
+        self.links.get(connection).and_then(|links| links.rank)
     }
 
-    /// The next connection to evict.
+    /// The connection to evict next: the oldest entry of the first rank that has any.
     pub fn first(&self) -> Option<usize> {
-        self.first
+        self.heads
             .iter()
-            .find(|first| **first != NONE)
-            .map(|first| *first as usize)
+            .find(|head| **head != NONE)
+            .map(|head| *head as usize)
     }
 }
--- a/crates/backpressure/src/lib.rs
+++ b/crates/backpressure/src/lib.rs
@@ -1,18 +1,20 @@
-//! Backpressure on slow clients and servers: who is slow, how much is buffered for whom, who is evicted first.
+//! Backpressure on slow clients and servers: which connections are slow, how many bytes are buffered for each, and
+//! which are evicted first.
 //!
-//! The gateway reports what it sees of a connection: bytes that move, bytes that wait, whether a final answer is still
-//! due. What comes back is what to do. No I/O and no clock: each call brings the time in ticks of 100 µs, random numbers
-//! come from the given seed. Retries and outcomes of requests are decided by `leverpoint-routing`.
+//! The gateway reports the bytes transferred and pending on each connection and the deadline of the answer that is due,
+//! and acts on the returned decisions. The crate performs no I/O and reads no clock: each call passes the time, in
+//! ticks of 100 µs, and random numbers come from the given seed. Retries and outcomes of requests are decided by
+//! `leverpoint-routing`.
 //!
-//! - [`throughput`]: measure of one direction of a connection
-//! - [`state`]: state machine of a connection's speed
-//! - [`limits`]: limits, and how they follow from a machine's resources
-//! - [`buffer_pool`]: what is held for connections, and who may hold more
-//! - [`eviction_order`]: who is evicted first
+//! - [`throughput`]: throughput of one direction of a connection
+//! - [`state`]: state machine that classifies a connection by its throughput
+//! - [`limits`]: limits, and their defaults by the resources of the process
+//! - [`buffer_pool`]: accounting of buffer bytes, and the limits on them
+//! - [`eviction_order`]: order in which connections are evicted
 //! - [`response_size`]: expected size of the next response
 //! - [`slow_response`]: whether a server's response can still be complete in time
-//! - [`arrival_rate`]: how fast connections are accepted
-//! - [`connections`]: all of it together
+//! - [`arrival_rate`]: rate limit on accepting connections
+//! - [`connections`]: all client connections, on top of the other modules
 
 #![warn(missing_docs)]
 
--- a/crates/backpressure/src/response_size.rs
+++ b/crates/backpressure/src/response_size.rs
@@ -1,43 +1,45 @@
 //! Estimate of the size of the next response, by request class and by connection.
 
-/// Part of an estimate that is forgotten with each shorter response.
-const FORGETS: usize = 16;
+/// An estimate falls by this fraction of itself with each smaller response, and rises to a larger one at once.
+const DECAY_DIVISOR: usize = 16;
 
 /// Estimated response sizes, in bytes.
 #[derive(Clone, Debug)]
 pub struct ResponseSizes {
-    /// By request class.
+    /// Estimates by request class.
     classes: Vec<usize>,
     /// Bytes that every connection has without a reservation.
-    free: usize,
+    unreserved: usize,
 }
 
-fn note(estimate: &mut usize, bytes: usize) {
-    *estimate = bytes.max(*estimate - estimate.div_ceil(FORGETS));
+fn update_estimate(estimate: &mut usize, bytes: usize) {
+    *estimate = bytes.max(*estimate - estimate.div_ceil(DECAY_DIVISOR));
 }
 
 impl ResponseSizes {
-    /// No responses seen yet.
-    pub fn new(classes: usize, free: usize) -> ResponseSizes {
+    /// Starts with estimates of 0; every connection has `unreserved` bytes without a reservation.
+    pub fn new(classes: usize, unreserved: usize) -> ResponseSizes {
         ResponseSizes {
             classes: vec![0; classes],
-            free,
+            unreserved,
         }
     }
 
-    /// Records a complete response of `bytes`; `own` is the estimate of its connection.
-    pub fn record(&mut self, own: &mut Option<usize>, class: usize, bytes: usize) {
-        note(&mut self.classes[class], bytes);
-        note(own.get_or_insert(bytes), bytes);
+    /// Records a complete response of `bytes`; `own_estimate` is the estimate of its connection.
+    pub fn record(&mut self, own_estimate: &mut Option<usize>, class: usize, bytes: usize) {
+        update_estimate(&mut self.classes[class], bytes);
+        update_estimate(own_estimate.get_or_insert(bytes), bytes);
     }
 
-    /// Records a response that has taken `bytes` beyond what is free and is not complete yet.
+    /// Records an incomplete response that has taken `bytes` beyond the unreserved ones.
     pub fn record_partial(&mut self, class: usize, bytes: usize) {
-        self.classes[class] = self.classes[class].max(bytes + self.free);
+        self.classes[class] = self.classes[class].max(bytes + self.unreserved);
     }
 
-    /// Bytes that the next response will need to reserve: by the connection's own estimate, else by the class's.
-    pub fn expected(&self, own: Option<usize>, class: usize) -> usize {
-        own.unwrap_or(self.classes[class]).saturating_sub(self.free)
+    /// Bytes to reserve for the next response: by the connection's own estimate, else by the class's.
+    pub fn expected(&self, own_estimate: Option<usize>, class: usize) -> usize {
+        own_estimate
+            .unwrap_or(self.classes[class])
+            .saturating_sub(self.unreserved)
     }
 }
--- a/crates/backpressure/src/slow_response.rs
+++ b/crates/backpressure/src/slow_response.rs
@@ -5,64 +5,67 @@
 use crate::Ticks;
 use crate::throughput::ThroughputMeter;
 
-/// Longest time from the first byte after which a response's rate is judged, in ticks.
+/// Upper bound of the settling time, in ticks: the time from the first byte after which a response's rate is judged.
 const MAX_SETTLING_TIME: Ticks = 3_000;
-/// The rate is judged after this part of the attempt's timeout.
-const SETTLING_FRACTION: Ticks = 8;
-/// Checks within the settling time.
+/// The settling time is the attempt's timeout divided by this.
+const SETTLING_DIVISOR: Ticks = 8;
+/// Number of checks within the settling time.
 const CHECKS: Ticks = 3;
-/// Bytes of the shortest possible response.
+/// Length of the shortest possible response, in bytes.
 const MIN_RESPONSE: usize = 62;
 
-/// Throughput of one response against its deadline.
+/// Compares the throughput of one response with its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowResponseDetector {
     meter: ThroughputMeter,
-    earliest: Ticks,
+    settling_time: Ticks,
 }
 
 impl SlowResponseDetector {
-    /// For an attempt with this timeout.
-    pub fn new(wait: Ticks) -> SlowResponseDetector {
+    /// Creates a detector for an attempt with this timeout, in ticks.
+    pub fn new(timeout: Ticks) -> SlowResponseDetector {
         SlowResponseDetector {
             meter: ThroughputMeter::default(),
-            earliest: (wait / SETTLING_FRACTION).clamp(CHECKS, MAX_SETTLING_TIME),
+            settling_time: (timeout / SETTLING_DIVISOR).clamp(CHECKS, MAX_SETTLING_TIME),
         }
     }
 
-    /// Time between two checks.
+    /// Time between two checks, in ticks.
     pub fn check_interval(&self) -> Ticks {
-        self.earliest / CHECKS
+        self.settling_time / CHECKS
     }
 
-    /// Takes in `bytes` of the response.
+    /// Records received bytes of the response.
     pub fn on_bytes_received(&mut self, now: Ticks, bytes: usize) {
         self.meter.on_bytes_received(now, bytes);
     }
 
-    /// Whether any byte has come.
+    /// Whether any byte of the response was received.
     pub fn has_started(&self) -> bool {
-        self.meter.moved_total() > 0
+        self.meter.transferred() > 0
     }
 
-    /// Excludes time in which the gateway did not read.
+    /// Excludes a span in which the gateway did not read.
     pub fn exclude_wait(&mut self, span: Ticks) {
         self.meter.exclude_wait(span);
     }
 
-    /// Whether the response cannot be complete by `until` at the better of its two rates, or nothing has come for half
-    /// of the time left. `missing` is what the current message lacks, 0 where its length is unknown.
-    pub fn cannot_finish(&self, now: Ticks, missing: usize, until: Ticks) -> bool {
-        let left = (until - now).max(0);
-        if !self.has_started() || self.meter.age(now) < self.earliest {
+    /// Whether the response cannot be complete by `deadline`.
+    ///
+    /// That is so if the higher of its recent and mean rates is too low for it, or if nothing was received for half of
+    /// the remaining time. `missing` is the number of bytes that the current message lacks, 0 where its length is
+    /// unknown.
+    pub fn cannot_finish(&self, now: Ticks, missing: usize, deadline: Ticks) -> bool {
+        let remaining = (deadline - now).max(0);
+        if !self.has_started() || self.meter.age(now) < self.settling_time {
             return false;
         }
-        let still = self.meter.idle_for(now);
-        if still > 0 {
-            return still >= self.earliest && still >= left / 2;
+        let idle = self.meter.idle_for(now);
+        if idle > 0 {
+            return idle >= self.settling_time && idle >= remaining / 2;
         }
-        let rate = self.meter.rate(now).max(self.meter.mean(now));
-        let missing = missing.max(MIN_RESPONSE.saturating_sub(self.meter.moved_total())) as u64;
-        missing * 10_000 > rate * left as u64
+        let rate = self.meter.rate(now).max(self.meter.mean_rate(now));
+        let missing = missing.max(MIN_RESPONSE.saturating_sub(self.meter.transferred())) as u64;
+        missing * 10_000 > rate * remaining as u64
     }
 }
--- a/crates/backpressure/src/state.rs
+++ b/crates/backpressure/src/state.rs
@@ -1,4 +1,4 @@
-//! State machine of a client connection's speed.
+//! State machine that classifies a client connection by the throughput of its transfers.
 //!
 //! # Invariants
 //!
@@ -8,22 +8,22 @@
 use crate::limits::Limits;
 use crate::throughput::ThroughputMeter;
 
-/// What a connection has shown of its speed.
+/// Class of a connection by its observed throughput.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing yet that the kernel's buffers alone could not have hidden.
+    /// Too little was transferred to tell: the kernel's buffers alone could have taken all of it.
     #[default]
     Unproven,
-    /// It has read much at a good rate.
+    /// The client has read at least [`Limits::proof_bytes`] at a good rate.
     Proven,
-    /// It reads or writes below the least rate, or near it.
+    /// The client reads or writes below twice the minimum rate.
     Slow,
-    /// Nothing moves.
+    /// Nothing was transferred for the stall timeout.
     Stalled,
 }
 
 impl ConnectionState {
-    /// All states, in the order of their counters.
+    /// All states, in the order in which counters by state are indexed.
     pub const ALL: [ConnectionState; 4] = [
         ConnectionState::Unproven,
         ConnectionState::Proven,
@@ -32,124 +32,137 @@
     ];
 }
 
-/// What the throughput of a transfer shows.
+/// Assessment of a transfer by its throughput.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// The transfer is complete; it was too small to show anything.
-    DrainedLittle,
-    /// The transfer is complete, much of it and at a good rate.
-    DrainedMuch,
-    /// The transfer has not lasted for its grace yet.
+pub enum TransferAssessment {
+    /// The transfer is complete, and too small or too slow to count as proof.
+    DrainedInconclusive,
+    /// The transfer is complete, and enough bytes were read at a good rate.
+    DrainedFast,
+    /// The transfer is still within its grace.
     TooEarly,
-    /// At least twice the least rate.
+    /// The rate is at least twice the minimum rate.
     Good,
-    /// Above the least rate, below twice of it.
+    /// The rate is between the minimum rate and twice of it.
     Marginal,
-    /// Below the least rate.
+    /// The rate is below the minimum rate.
     BelowMinimum,
-    /// Nothing has moved for the stall timeout.
+    /// Nothing was transferred for the stall timeout.
     Stopped,
 }
 
-/// What is done with the connection.
+/// What the gateway does with a connection after an assessment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It stays.
+    /// The connection stays open.
     Keep,
-    /// It is closed now, whatever waits on it.
+    /// The connection is closed at once, even with bytes pending.
     Evict,
 }
 
 use Action::{Evict, Keep};
 use ConnectionState::{Proven, Slow, Stalled, Unproven};
-use Reading::{BelowMinimum, DrainedLittle, DrainedMuch, Good, Marginal, Stopped, TooEarly};
+use TransferAssessment::{
+    BelowMinimum, DrainedFast, DrainedInconclusive, Good, Marginal, Stopped, TooEarly,
+};
 
+/// One row of the transition table.
 struct Transition {
     /// `None` matches any state.
     state: Option<ConnectionState>,
-    input: Reading,
-    /// Whether an answer is still due before its client deadline; `None` matches either.
+    assessment: TransferAssessment,
+    /// Whether an answer is still due before the client's deadline; `None` matches either.
     answer_due: Option<bool>,
+    /// `None` keeps the state.
     next: Option<ConnectionState>,
-    effect: Action,
+    action: Action,
 }
 
 const fn transition(
     state: Option<ConnectionState>,
-    input: Reading,
+    assessment: TransferAssessment,
     answer_due: Option<bool>,
     next: Option<ConnectionState>,
-    effect: Action,
+    action: Action,
 ) -> Transition {
     Transition {
         state,
-        input,
+        assessment,
         answer_due,
         next,
-        effect,
+        action,
     }
 }
 
-/// The first transition that matches holds. A connection with an answer due is never evicted: its request would be lost.
+/// The first matching transition applies; without a match the state stays. A connection with an answer due is never
+/// evicted, as its request would be lost.
 const TRANSITIONS: [Transition; 17] = [
     transition(None, TooEarly, None, None, Keep),
-    // Below the least rate or stopped.
+    // Below the minimum rate or stopped.
     transition(None, BelowMinimum, Some(true), Some(Slow), Keep),
     transition(None, BelowMinimum, Some(false), Some(Slow), Evict),
     transition(None, Stopped, Some(true), Some(Stalled), Keep),
     transition(None, Stopped, Some(false), Some(Stalled), Evict),
-    // Much read at a good rate proves a connection; one that was slow has to prove itself twice.
-    transition(Some(Unproven), DrainedMuch, None, Some(Proven), Keep),
-    transition(Some(Slow), DrainedMuch, None, Some(Unproven), Keep),
-    transition(Some(Stalled), DrainedMuch, None, Some(Slow), Keep),
-    transition(Some(Stalled), DrainedLittle, None, Some(Slow), Keep),
+    // Enough bytes read at a good rate prove a connection; one that was slow has to prove itself twice.
+    transition(Some(Unproven), DrainedFast, None, Some(Proven), Keep),
+    transition(Some(Slow), DrainedFast, None, Some(Unproven), Keep),
+    transition(Some(Stalled), DrainedFast, None, Some(Slow), Keep),
+    transition(Some(Stalled), DrainedInconclusive, None, Some(Slow), Keep),
     transition(Some(Stalled), Good, None, Some(Slow), Keep),
     transition(Some(Stalled), Marginal, None, Some(Slow), Keep),
-    // Just above the least rate an unproven connection counts as slow, a proven one stays proven.
+    // Just above the minimum rate an unproven connection becomes slow and a proven one stays proven.
     transition(Some(Unproven), Marginal, None, Some(Slow), Keep),
     transition(Some(Proven), Marginal, None, Some(Proven), Keep),
     transition(Some(Slow), Marginal, None, Some(Slow), Keep),
     transition(None, Good, None, None, Keep),
-    transition(None, DrainedLittle, None, None, Keep),
-    transition(Some(Proven), DrainedMuch, None, Some(Proven), Keep),
+    transition(None, DrainedInconclusive, None, None, Keep),
+    transition(Some(Proven), DrainedFast, None, Some(Proven), Keep),
 ];
 
-/// Next state after a reading, and what is done.
-pub fn next(state: ConnectionState, input: Reading, answer_due: bool) -> (ConnectionState, Action) {
-    let fits = |transition: &&Transition| {
-        transition.state.is_none_or(|s| s == state)
-            && transition.input == input
-            && transition.answer_due.is_none_or(|due| due == answer_due)
+/// Next state after an assessment, and the action to take.
+pub fn next_state(
+    state: ConnectionState,
+    assessment: TransferAssessment,
+    answer_due: bool,
+) -> (ConnectionState, Action) {
+    let applies = |transition: &&Transition| {
+        transition.state.is_none_or(|from| from == state)
+            && transition.assessment == assessment
+            && transition
+                .answer_due
+                .is_none_or(|required| required == answer_due)
     };
-    match TRANSITIONS.iter().find(fits) {
-        Some(transition) => (transition.next.unwrap_or(state), transition.effect),
+    match TRANSITIONS.iter().find(applies) {
+        Some(transition) => (transition.next.unwrap_or(state), transition.action),
         None => (state, Keep),
     }
 }
 
-/// Whether what has moved did so at a good rate.
-pub fn drained_well(meter: &ThroughputMeter, now: Ticks, limits: &Limits) -> bool {
-    meter.mean(now) >= 2 * limits.min_rate || meter.age(now) < limits.grace
+/// Whether a transfer has a good mean rate, at least twice the minimum rate, or is still within the grace.
+pub fn has_good_mean_rate(meter: &ThroughputMeter, now: Ticks, limits: &Limits) -> bool {
+    meter.mean_rate(now) >= 2 * limits.min_rate || meter.age(now) < limits.grace
 }
 
-/// Reading of a transfer by the limits. `credit` is what has been drained at a good rate so far; a `short` transfer gets
-/// twice the grace, as a lost packet costs it as much as a long one.
-pub fn reading(
+/// Assesses a transfer by the limits.
+///
+/// `proof_credit` is the number of bytes drained at a good rate so far. A `small` transfer gets twice the grace, as a
+/// lost packet delays it as much as a large one.
+pub fn assess(
     meter: &ThroughputMeter,
     now: Ticks,
     limits: &Limits,
-    credit: usize,
-    short: bool,
-) -> Reading {
+    proof_credit: usize,
+    small: bool,
+) -> TransferAssessment {
     let rate = meter.rate(now);
-    if meter.waiting() == 0 {
-        return if credit >= limits.proof_bytes && drained_well(meter, now, limits) {
-            DrainedMuch
+    if meter.pending() == 0 {
+        return if proof_credit >= limits.proof_bytes && has_good_mean_rate(meter, now, limits) {
+            DrainedFast
         } else {
-            DrainedLittle
+            DrainedInconclusive
         };
     }
-    let grace = if short {
+    let grace = if small {
         2 * limits.grace
     } else {
         limits.grace
--- a/crates/backpressure/src/throughput.rs
+++ b/crates/backpressure/src/throughput.rs
@@ -1,4 +1,4 @@
-//! Throughput of one direction of a connection: bytes that moved, bytes that wait, and since when.
+//! Throughput of one direction of a connection: bytes transferred, bytes pending, and the times of both.
 //!
 //! The size is fixed and an update touches one cache line.
 
@@ -6,116 +6,121 @@
 
 /// Length of a window, in ticks: a quarter of a second.
 pub const WINDOW: Ticks = 2_500;
-/// Windows looked back on: a second, as a mobile network may pause for a few hundred milliseconds.
+/// Number of windows in the moving average: one second, as a mobile network may pause for a few hundred milliseconds.
 const WINDOWS: usize = 4;
 
-/// Sliding-window measure of a transfer.
+/// Sliding-window meter of a transfer.
+///
+/// A transfer starts with the first bytes that are added while none are pending.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ThroughputMeter {
-    /// Bytes moved in each of the last windows, indexed by the window's number modulo their count.
-    moved: [u32; WINDOWS],
+    /// Bytes transferred in each of the last windows, indexed by the window's number modulo their count.
+    window_bytes: [u32; WINDOWS],
     /// Number of the window that was written last.
-    window: i64,
-    /// When the wait began.
-    since: Ticks,
-    /// When a byte moved last, or the wait began.
-    progress: Ticks,
-    /// All that has moved in this wait.
-    taken: u32,
-    waiting: u32,
+    last_window: i64,
+    /// When the transfer started.
+    started_at: Ticks,
+    /// When a byte was transferred last, or the transfer started.
+    last_progress_at: Ticks,
+    /// Bytes transferred since the transfer started.
+    transferred: u32,
+    pending: u32,
 }
 
 impl ThroughputMeter {
-    /// `bytes` more wait to move; the first of them begin a wait.
-    pub fn add(&mut self, now: Ticks, bytes: usize) {
-        if self.waiting == 0 {
+    /// Adds pending bytes; starts a transfer if none were pending.
+    pub fn add_pending(&mut self, now: Ticks, bytes: usize) {
+        if self.pending == 0 {
             *self = ThroughputMeter {
-                since: now,
-                progress: now,
-                window: now / WINDOW,
+                started_at: now,
+                last_progress_at: now,
+                last_window: now / WINDOW,
                 ..ThroughputMeter::default()
             };
         }
-        self.waiting = self
-            .waiting
+        self.pending = self
+            .pending
             .saturating_add(bytes.min(u32::MAX as usize) as u32);
     }
 
-    /// `bytes` have moved, at most those that wait.
-    pub fn moved(&mut self, now: Ticks, bytes: usize) {
-        let bytes = bytes.min(self.waiting as usize) as u32;
+    /// Records that `bytes` of the pending bytes were transferred; any excess over the pending bytes is ignored.
+    pub fn record_transferred(&mut self, now: Ticks, bytes: usize) {
+        let bytes = bytes.min(self.pending as usize) as u32;
         if bytes == 0 {
             return;
         }
-        self.pass_to(now / WINDOW);
-        self.moved[self.window as usize % WINDOWS] += bytes;
-        (self.taken, self.waiting) = (self.taken + bytes, self.waiting - bytes);
-        self.progress = self.progress.max(now);
+        self.advance_to(now / WINDOW);
+        self.window_bytes[self.last_window as usize % WINDOWS] += bytes;
+        (self.transferred, self.pending) = (self.transferred + bytes, self.pending - bytes);
+        self.last_progress_at = self.last_progress_at.max(now);
     }
 
-    /// `bytes` have come of a message of unknown length: one byte more waits until it is cleared.
+    /// Records received bytes of a message of unknown length: one more byte stays pending until the meter is cleared.
     pub fn on_bytes_received(&mut self, now: Ticks, bytes: usize) {
-        self.add(now, bytes + usize::from(self.waiting == 0));
-        self.moved(now, bytes);
+        self.add_pending(now, bytes + usize::from(self.pending == 0));
+        self.record_transferred(now, bytes);
     }
 
-    /// `bytes` still wait; the rest has moved.
-    pub fn left(&mut self, now: Ticks, bytes: usize) {
-        self.moved(now, (self.waiting as usize).saturating_sub(bytes));
+    /// Records as transferred all pending bytes but `bytes`.
+    pub fn set_pending(&mut self, now: Ticks, bytes: usize) {
+        self.record_transferred(now, (self.pending as usize).saturating_sub(bytes));
     }
 
-    /// Excludes time in which nothing could move for reasons of the gateway's own.
+    /// Excludes a span in which the gateway itself prevented any transfer.
     pub fn exclude_wait(&mut self, span: Ticks) {
-        (self.since, self.progress) = (self.since + span, self.progress + span);
+        (self.started_at, self.last_progress_at) =
+            (self.started_at + span, self.last_progress_at + span);
     }
 
-    /// Nothing waits any more.
+    /// Ends the transfer: no bytes are pending.
     pub fn clear(&mut self) {
-        self.waiting = 0;
+        self.pending = 0;
     }
 
     /// Empties the windows between the last one written and this one.
-    fn pass_to(&mut self, window: i64) {
-        let passed = (window - self.window).clamp(0, WINDOWS as i64);
-        (1..=passed).for_each(|n| self.moved[(self.window + n) as usize % WINDOWS] = 0);
-        self.window = self.window.max(window);
+    fn advance_to(&mut self, window: i64) {
+        let passed = (window - self.last_window).clamp(0, WINDOWS as i64);
+        (1..=passed).for_each(|n| self.window_bytes[(self.last_window + n) as usize % WINDOWS] = 0);
+        self.last_window = self.last_window.max(window);
     }
 
-    /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting as usize
+    /// Number of pending bytes.
+    pub fn pending(&self) -> usize {
+        self.pending as usize
     }
 
-    /// Bytes moved since the wait began.
-    pub fn moved_total(&self) -> usize {
-        self.taken as usize
+    /// Bytes transferred since the transfer started.
+    pub fn transferred(&self) -> usize {
+        self.transferred as usize
     }
 
-    /// How long something has waited.
+    /// Time since the transfer started.
     pub fn age(&self, now: Ticks) -> Ticks {
-        (now - self.since).max(0)
+        (now - self.started_at).max(0)
     }
 
-    /// How long nothing has moved.
+    /// Time since a byte was transferred last, or since the transfer started.
     pub fn idle_for(&self, now: Ticks) -> Ticks {
-        (now - self.progress).max(0)
+        (now - self.last_progress_at).max(0)
     }
 
-    /// Bytes a second over the last windows, or since the wait began where that is shorter.
+    /// Bytes a second over the last windows, or since the transfer started where that is shorter.
     pub fn rate(&self, now: Ticks) -> u64 {
         let window = now / WINDOW;
         let oldest = window - (WINDOWS as i64 - 1);
-        let counted = |n: &i64| *n >= oldest && *n <= self.window && *n >= 0;
-        let in_windows = (0..WINDOWS as i64).map(|n| self.window - n).filter(counted);
-        let moved: u64 = in_windows
-            .map(|n| u64::from(self.moved[n as usize % WINDOWS]))
+        let is_recent = |n: &i64| *n >= oldest && *n <= self.last_window && *n >= 0;
+        let recent_windows = (0..WINDOWS as i64)
+            .map(|n| self.last_window - n)
+            .filter(is_recent);
+        let recent_bytes: u64 = recent_windows
+            .map(|n| u64::from(self.window_bytes[n as usize % WINDOWS]))
             .sum();
         let span = (now - oldest * WINDOW).min(self.age(now)).max(1);
-        moved * 10_000 / span as u64
+        recent_bytes * 10_000 / span as u64
     }
 
-    /// Bytes a second since the wait began.
-    pub fn mean(&self, now: Ticks) -> u64 {
-        u64::from(self.taken) * 10_000 / self.age(now).max(1) as u64
+    /// Bytes a second since the transfer started.
+    pub fn mean_rate(&self, now: Ticks) -> u64 {
+        u64::from(self.transferred) * 10_000 / self.age(now).max(1) as u64
     }
 }
