--- a/crates/sessions/benches/index.rs
+++ b/crates/sessions/benches/index.rs
@@ -1,4 +1,4 @@
-//! The index and the summary against the plain way, a map of the same entries: memory and time.
+//! Memory and time of the session index and the sketch, compared with a hash map of the same entries.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -7,48 +7,49 @@
 use fastrand::Rng;
 use leverpoint_sessions::{PositionSketch, SessionEntry, SessionIndex, SessionState};
 
-fn ns(many: usize, mut each: impl FnMut(usize)) -> f64 {
-    let began = Instant::now();
-    (0..many).for_each(&mut each);
-    began.elapsed().as_nanos() as f64 / many as f64
+fn mean_ns(count: usize, mut operation: impl FnMut(usize)) -> f64 {
+    let started = Instant::now();
+    (0..count).for_each(&mut operation);
+    started.elapsed().as_nanos() as f64 / count as f64
 }
 
 fn main() {
-    for many in [65_536usize, 1 << 20, 4 << 20] {
+    for count in [65_536usize, 1 << 20, 4 << 20] {
         let mut random = Rng::with_seed(1);
-        let numbers: Vec<u64> = (0..many).map(|_| random.u64(1..)).collect();
-        let entry = |at: i64| SessionEntry {
-            known: SessionState::Wrote,
-            floor: at,
-            wrote: at,
-            seen: at,
+        let hashes: Vec<u64> = (0..count).map(|_| random.u64(1..)).collect();
+        let entry = |time: i64| SessionEntry {
+            state: SessionState::Wrote,
+            low_watermark: time,
+            last_write: time,
+            last_seen: time,
         };
-        let (mut index, mut plain) = (SessionIndex::new(many, 1), HashMap::new());
-        let put = ns(many, |n| {
-            index.set(numbers[n], &entry(n as i64 + 2));
+        let (mut index, mut map) = (SessionIndex::new(count, 1), HashMap::new());
+        let set_ns = mean_ns(count, |n| {
+            index.set(hashes[n], &entry(n as i64 + 2));
         });
-        let put_plain = ns(many, |n| {
-            plain.insert(numbers[n], entry(n as i64 + 2));
+        let map_set_ns = mean_ns(count, |n| {
+            map.insert(hashes[n], entry(n as i64 + 2));
         });
-        let asked: Vec<usize> = (0..1 << 20).map(|_| random.usize(..many)).collect();
-        let get = ns(asked.len(), |n| {
-            black_box(index.get(numbers[asked[n]]));
+        let lookups: Vec<usize> = (0..1 << 20).map(|_| random.usize(..count)).collect();
+        let get_ns = mean_ns(lookups.len(), |n| {
+            black_box(index.get(hashes[lookups[n]]));
         });
-        let get_plain = ns(asked.len(), |n| {
-            black_box(plain.get(&numbers[asked[n]]));
+        let map_get_ns = mean_ns(lookups.len(), |n| {
+            black_box(map.get(&hashes[lookups[n]]));
         });
-        // A map keeps a byte of its own beside each place, and an eighth of the places free at least.
-        let bytes_plain = plain.capacity() * 8 / 7 * (size_of::<(u64, SessionEntry)>() + 1);
-        let mut sketch = PositionSketch::new(many / 4, 10, 600_000);
-        let note = ns(many, |n| sketch.record(numbers[n], n as i64 + 2));
-        let more: usize = (0..many)
-            .filter(|n| sketch.upper_bound(numbers[*n]) > *n as i64 + 2 + 600_000)
+        // A hash map has a control byte for each slot, and keeps at least an eighth of the slots free.
+        let map_bytes = map.capacity() * 8 / 7 * (size_of::<(u64, SessionEntry)>() + 1);
+        let mut sketch = PositionSketch::new(count / 4, 10, 600_000);
+        let record_ns = mean_ns(count, |n| sketch.record(hashes[n], n as i64 + 2));
+        let raised_count: usize = (0..count)
+            .filter(|n| sketch.upper_bound(hashes[*n]) > *n as i64 + 2 + 600_000)
             .count();
         println!(
-            "{many} sessions: index {:.1} MiB, set {put:.0} ns, get {get:.0} ns; map {:.1} MiB, set {put_plain:.0} ns, \
-             get {get_plain:.0} ns; summary {:.1} MiB, note {note:.0} ns, {more} asked for a minute more",
+            "{count} sessions: index {:.1} MiB, set {set_ns:.0} ns, get {get_ns:.0} ns; map {:.1} MiB, \
+             set {map_set_ns:.0} ns, get {map_get_ns:.0} ns; \
+             summary {:.1} MiB, note {record_ns:.0} ns, {raised_count} asked for a minute more",
             index.bytes() as f64 / 1_048_576.0,
-            bytes_plain as f64 / 1_048_576.0,
+            map_bytes as f64 / 1_048_576.0,
             sketch.bytes() as f64 / 1_048_576.0,
         );
     }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,10 +1,10 @@
-//! Read-your-writes for sessions: which replication position a session's read must see, and how long it may wait for a
-//! replica.
+//! Read-your-writes consistency for sessions: which replication position a session's read must see, and how long it may
+//! wait for a replica.
 //!
-//! What a gateway knows of a session ends with its epoch: at a restart, when the session may have been at another
-//! gateway, when the wall clock steps. An unknown session counts as having written up to the current instant, so that an
-//! error only ever asks for more than needed. No I/O and no clock of its own; which server is asked is decided by
-//! `leverpoint-routing`.
+//! A gateway discards its knowledge of sessions when an epoch ends, at a restart or a step of the wall clock, and that
+//! of one session when it may have been at another gateway. An unknown session counts as having written up to the
+//! current instant, so that missing knowledge only ever raises a requirement. The crate performs no I/O and reads no
+//! clock; the server that is asked is chosen by `leverpoint-routing`.
 
 #![warn(missing_docs)]
 
@@ -23,12 +23,14 @@
 pub use replica_wait::ReplicaWait;
 pub use session_index::{SessionEntry, SessionIndex};
 pub use session_token::{SessionToken, TOKEN_LENGTH};
-pub use state::{ReadRequirement, SessionEvent, SessionState, next};
+pub use state::{ReadRequirement, SessionEvent, SessionState, next_state};
 pub use tracker::{
     RequiredPosition, SessionConfig, SessionMetrics, SessionPosition, SessionTracker,
 };
 
-/// Hash of a session by its replica set and key. `secret` keeps clients from choosing colliding sessions.
+/// Hash of a session by its replica set and key, never 0.
+///
+/// `secret` keeps clients from choosing keys whose hashes collide.
 pub fn session_hash(secret: u64, set: u16, key: &str) -> u64 {
     let mut hash = xxhash_rust::xxh3::Xxh3::with_seed(secret);
     hash.update(&set.to_le_bytes());
--- a/crates/sessions/src/session_index.rs
+++ b/crates/sessions/src/session_index.rs
@@ -1,76 +1,79 @@
-//! Fixed-size open-addressing table of the sessions that are known exactly, by their hashes.
+//! Fixed-size open-addressing hash table of the sessions that are known exactly.
 //!
 //! # Invariants
 //!
-//! The table never grows and never loses a position: each evicted entry is returned, so that a summary can keep it.
+//! The table never grows and never loses a position: each evicted entry is returned, so that the caller can record it
+//! in the sketch.
 
 use crate::Ticks;
 use crate::state::SessionState;
 
-/// What is known of one session; times and positions in ticks, 0 for none.
+/// Entry of one session; times and positions in ticks, 0 for none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionEntry {
-    /// State of the session.
-    pub known: SessionState,
-    /// Low watermark: what it must see from before it was tracked.
-    pub floor: Ticks,
-    /// Position of its last write.
-    pub wrote: Ticks,
-    /// When it was last seen.
-    pub seen: Ticks,
+    /// Knowledge about the session.
+    pub state: SessionState,
+    /// Position that reads must see from before the session was tracked.
+    pub low_watermark: Ticks,
+    /// Position of the session's last write.
+    pub last_write: Ticks,
+    /// Time of the session's last event; the index rounds its offset down to a multiple of 4 ticks.
+    pub last_seen: Ticks,
 }
 
-/// Entry with times as offsets from the index's base: four bytes hold five days.
+/// Entry with times as offsets from the index's base, in ticks: four bytes hold five days.
 #[derive(Clone, Copy, Default)]
-struct Packed {
-    floor: u32,
-    wrote: u32,
-    /// The lowest two bits are what is known: three ticks of 100 µs, rounded towards longer ago.
-    seen: u32,
+struct PackedEntry {
+    low_watermark: u32,
+    last_write: u32,
+    /// The lowest two bits hold the state, which rounds the time down by up to three ticks of 100 µs.
+    last_seen: u32,
 }
 
-/// Table with linear probing; removal shifts the entries behind it back.
+/// Hash table with linear probing; a removal shifts back the entries that follow.
 pub struct SessionIndex {
     hashes: Vec<u64>,
-    entries: Vec<Packed>,
+    entries: Vec<PackedEntry>,
+    /// Time from which the entries' offsets count.
     base: Ticks,
     count: usize,
-    most: usize,
+    max_sessions: usize,
     /// Slot at which the next search for an entry to evict or expire continues.
     sweep_cursor: usize,
 }
 
-/// Entries looked at for the one that has been unseen for longest, when there is no room: enough that it is among the
-/// oldest tenth nearly always, few enough to stay below a microsecond.
+/// Number of entries among which the least recently seen one is evicted when the table is full: enough that it is
+/// nearly always among the oldest tenth of all, few enough to take less than a microsecond.
 const EVICTION_SAMPLES: usize = 16;
-/// Offsets stay below this: a newer time moves the base first.
+/// Upper bound of offsets: a newer time moves the base first.
 const MAX_OFFSET: Ticks = 1 << 31;
 
-fn pack(entry: &SessionEntry, base: Ticks) -> Packed {
-    // 0 is none; a time older than the base becomes the base, which asks for more.
-    let up = |at: Ticks| {
-        if at == 0 {
+fn pack(entry: &SessionEntry, base: Ticks) -> PackedEntry {
+    // 0 stands for none. A position before the base becomes the base plus one tick, and a last-seen time before it
+    // becomes 0: both only raise a requirement.
+    let to_offset = |time: Ticks| {
+        if time == 0 {
             0
         } else {
-            (at - base).clamp(1, Ticks::from(u32::MAX)) as u32
+            (time - base).clamp(1, Ticks::from(u32::MAX)) as u32
         }
     };
-    let known = entry.known as u32;
-    Packed {
-        floor: up(entry.floor),
-        wrote: up(entry.wrote),
-        seen: (up(entry.seen) & !3) | known,
+    let state = entry.state as u32;
+    PackedEntry {
+        low_watermark: to_offset(entry.low_watermark),
+        last_write: to_offset(entry.last_write),
+        last_seen: (to_offset(entry.last_seen) & !3) | state,
     }
 }
 
-fn unpack(packed: Packed, base: Ticks) -> SessionEntry {
-    let known = [
+fn unpack(packed: PackedEntry, base: Ticks) -> SessionEntry {
+    let state = [
         SessionState::Unknown,
         SessionState::Uncertain,
         SessionState::Tracked,
         SessionState::Wrote,
-    ][packed.seen as usize & 3];
-    let at = |offset: u32| {
+    ][packed.last_seen as usize & 3];
+    let to_time = |offset: u32| {
         if offset == 0 {
             0
         } else {
@@ -78,24 +81,26 @@
         }
     };
     SessionEntry {
-        known,
-        floor: at(packed.floor),
-        wrote: at(packed.wrote),
-        seen: at(packed.seen & !3),
+        state,
+        low_watermark: to_time(packed.low_watermark),
+        last_write: to_time(packed.last_write),
+        last_seen: to_time(packed.last_seen & !3),
     }
 }
 
 impl SessionIndex {
-    /// Capacity for `most` sessions, with at least an eighth more slots so that probe sequences stay short.
-    pub fn new(most: usize, base: Ticks) -> SessionIndex {
-        let most = most.max(EVICTION_SAMPLES);
-        let slots = (most + most / 8).next_power_of_two();
+    /// Creates an empty index for `max_sessions` sessions.
+    ///
+    /// It has at least an eighth more slots, so that probe sequences stay short.
+    pub fn new(max_sessions: usize, base: Ticks) -> SessionIndex {
+        let max_sessions = max_sessions.max(EVICTION_SAMPLES);
+        let slots = (max_sessions + max_sessions / 8).next_power_of_two();
         SessionIndex {
             hashes: vec![0; slots],
-            entries: vec![Packed::default(); slots],
+            entries: vec![PackedEntry::default(); slots],
             base,
             count: 0,
-            most,
+            max_sessions,
             sweep_cursor: 0,
         }
     }
@@ -105,70 +110,73 @@
     }
 
     fn find_slot(&self, hash: u64) -> Result<usize, usize> {
-        // The high bits: the low ones choose a sketch's cell.
-        let mut at = (hash >> 20) as usize & self.mask();
+        // Uses higher bits, as the low ones select a cell of the sketch.
+        let mut slot = (hash >> 20) as usize & self.mask();
         loop {
-            match self.hashes[at] {
-                0 => return Err(at),
-                held if held == hash => return Ok(at),
-                _ => at = (at + 1) & self.mask(),
+            match self.hashes[slot] {
+                0 => return Err(slot),
+                stored if stored == hash => return Ok(slot),
+                _ => slot = (slot + 1) & self.mask(),
             }
         }
     }
 
-    /// Entry of a session.
+    /// Entry of a session by its hash.
     pub fn get(&self, hash: u64) -> Option<SessionEntry> {
         self.find_slot(hash)
             .ok()
-            .map(|at| unpack(self.entries[at], self.base))
+            .map(|slot| unpack(self.entries[slot], self.base))
     }
 
-    /// Stores the entry of a session; returns the one that was evicted for it, if any.
+    /// Stores the entry of a session; returns the hash and entry of the session that was evicted for it, if any.
     pub fn set(&mut self, hash: u64, entry: &SessionEntry) -> Option<(u64, SessionEntry)> {
-        let newest = entry.seen.max(entry.floor).max(entry.wrote);
+        let newest = entry
+            .last_seen
+            .max(entry.low_watermark)
+            .max(entry.last_write);
         if newest - self.base >= MAX_OFFSET {
             self.rebase(newest - MAX_OFFSET / 2);
         }
-        let mut left = None;
-        let at = match self.find_slot(hash) {
-            Ok(at) => at,
-            Err(_) if self.count >= self.most => {
-                left = self.evict_one();
+        let mut evicted = None;
+        let slot = match self.find_slot(hash) {
+            Ok(slot) => slot,
+            Err(_) if self.count >= self.max_sessions => {
+                evicted = self.evict_one();
                 self.occupy(hash)
             }
             Err(_) => self.occupy(hash),
         };
-        self.entries[at] = pack(entry, self.base);
-        left
+        self.entries[slot] = pack(entry, self.base);
+        evicted
     }
 
     fn occupy(&mut self, hash: u64) -> usize {
-        let at = self.find_slot(hash).unwrap_or_else(|free| free);
-        self.hashes[at] = hash;
+        let slot = self.find_slot(hash).unwrap_or_else(|free| free);
+        self.hashes[slot] = hash;
         self.count += 1;
-        at
+        slot
     }
 
     fn evict_one(&mut self) -> Option<(u64, SessionEntry)> {
         let mut oldest: Option<(u32, usize)> = None;
-        let mut looks = 0;
-        while looks < EVICTION_SAMPLES {
+        let mut sampled = 0;
+        while sampled < EVICTION_SAMPLES {
             self.sweep_cursor = (self.sweep_cursor + 1) & self.mask();
             if self.hashes[self.sweep_cursor] != 0 {
-                looks += 1;
-                let seen = self.entries[self.sweep_cursor].seen;
-                if oldest.is_none_or(|(least, _)| seen < least) {
-                    oldest = Some((seen, self.sweep_cursor));
+                sampled += 1;
+                let last_seen = self.entries[self.sweep_cursor].last_seen;
+                if oldest.is_none_or(|(lowest, _)| last_seen < lowest) {
+                    oldest = Some((last_seen, self.sweep_cursor));
                 }
             }
         }
-        oldest.map(|(_, at)| self.remove_at(at))
+        oldest.map(|(_, slot)| self.remove_at(slot))
     }
 
-    fn remove_at(&mut self, at: usize) -> (u64, SessionEntry) {
-        let out = (self.hashes[at], unpack(self.entries[at], self.base));
-        let (mask, mut gap, mut next) = (self.mask(), at, at);
-        // Entries behind it shift back, unless they are at or behind their home slot already.
+    fn remove_at(&mut self, slot: usize) -> (u64, SessionEntry) {
+        let removed = (self.hashes[slot], unpack(self.entries[slot], self.base));
+        let (mask, mut gap, mut next) = (self.mask(), slot, slot);
+        // Entries that follow shift back into the gap, unless the gap is before their home slot.
         loop {
             next = (next + 1) & mask;
             let hash = self.hashes[next];
@@ -183,44 +191,49 @@
         }
         self.hashes[gap] = 0;
         self.count -= 1;
-        out
+        removed
     }
 
-    /// Expires entries unseen since `before` in the next `slots` slots, handing each to `left`.
-    pub fn sweep(&mut self, slots: usize, before: Ticks, mut left: impl FnMut(u64, SessionEntry)) {
+    /// Removes the entries last seen before `before` from the next `slots` slots, and passes each to `on_expired`.
+    pub fn sweep(
+        &mut self,
+        slots: usize,
+        before: Ticks,
+        mut on_expired: impl FnMut(u64, SessionEntry),
+    ) {
         for _ in 0..slots {
             self.sweep_cursor = (self.sweep_cursor + 1) & self.mask();
             while self.hashes[self.sweep_cursor] != 0
-                && unpack(self.entries[self.sweep_cursor], self.base).seen < before
+                && unpack(self.entries[self.sweep_cursor], self.base).last_seen < before
             {
                 let (hash, entry) = self.remove_at(self.sweep_cursor);
-                left(hash, entry);
+                on_expired(hash, entry);
             }
         }
     }
 
-    /// Moves the base; times older than the new base become it, which asks for more.
+    /// Moves the base; times before the new base change as in [`pack`], which only raises a requirement.
     fn rebase(&mut self, base: Ticks) {
-        for at in 0..self.hashes.len() {
-            if self.hashes[at] != 0 {
-                self.entries[at] = pack(&unpack(self.entries[at], self.base), base);
+        for slot in 0..self.hashes.len() {
+            if self.hashes[slot] != 0 {
+                self.entries[slot] = pack(&unpack(self.entries[slot], self.base), base);
             }
         }
         self.base = base;
     }
 
-    /// Number of sessions held.
+    /// Number of sessions in the index.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether no session is held.
+    /// Whether the index has no sessions.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Bytes taken by the table.
+    /// Size of the table, in bytes.
     pub fn bytes(&self) -> usize {
-        self.hashes.len() * (size_of::<u64>() + size_of::<Packed>())
+        self.hashes.len() * (size_of::<u64>() + size_of::<PackedEntry>())
     }
 }
--- a/crates/sessions/src/state.rs
+++ b/crates/sessions/src/state.rs
@@ -1,66 +1,66 @@
-//! State machine of what a gateway knows of one session, and what a read of it must see.
+//! State machine of a gateway's knowledge about one session, and what the session's reads must see in each state.
 //!
 //! # Invariants
 //!
-//! A read is never required to see less than its session may have written, at whichever gateway.
+//! A read is never required to see less than what its session may have written, at any gateway.
 
-/// What is known of a session here, in ascending order of certainty.
+/// Knowledge of this gateway about a session, in ascending order of certainty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SessionState {
-    /// Not seen in this epoch: it may have written anywhere up to now.
+    /// Not seen in this epoch: it may have written up to now, at any gateway.
     #[default]
     Unknown,
-    /// One of its writes ended without a known outcome: it may have executed, at an unknown position.
+    /// A write ended without a known outcome: it may have executed, at an unknown position.
     Uncertain,
-    /// Tracked without a gap since its low watermark and has written nothing since.
+    /// Tracked without a gap since its low watermark, without a write since then.
     Tracked,
-    /// Tracked, and its last write was answered here.
+    /// Tracked, and its last write was answered by this gateway.
     Wrote,
 }
 
-/// An event of a session.
+/// Event that changes what is known about a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// A read, soon enough after the last event that the session was at no other gateway in between.
+    /// A read so soon after the last event that the session was at no other gateway in between.
     Read,
     /// A read after a gap in which the session may have been at another gateway.
     ReadAfterGap,
-    /// A write, without a gap.
+    /// A write without such a gap.
     Write,
-    /// A write after a gap.
+    /// A write after a gap in which the session may have been at another gateway.
     WriteAfterGap,
-    /// A write was answered with its position.
+    /// The answer of a write, with its position.
     WriteAnswered,
-    /// A write ended, may have executed, and has no position.
+    /// The end of a write that may have executed, without a position.
     WriteUncertain,
     /// A read with a token that names all that the session has written.
     TokenRead,
     /// A read for which the replica holders of the session's positions have answered.
     ReplicatedRead,
-    /// A position of the session was learned from another gateway or an earlier epoch; there may be later ones.
+    /// A position of the session from another gateway or an earlier epoch; there may be later ones.
     PositionLearned,
 }
 
 /// What a read must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadRequirement {
-    /// The event is no read.
+    /// None, as the event is not a read.
     None,
     /// The low watermark from which the session is tracked.
     LowWatermark,
     /// The session's last write, and its low watermark.
     LastWrite,
-    /// All that anybody has written up to now; that instant becomes the low watermark.
+    /// All writes of all sessions up to now; that instant becomes the low watermark.
     CurrentInstant,
-    /// What the token names, and what was written here.
+    /// The token's position, and the session's writes at this gateway.
     Token,
-    /// What the replica holders say, and what was written here; that becomes the low watermark.
+    /// The replica holders' position, and the session's writes at this gateway; that becomes the low watermark.
     Replicated,
 }
 
 use SessionState::{Tracked, Uncertain, Unknown, Wrote};
 
-/// State, event, next state, requirement of the read.
+/// State, event, next state, and requirement of the read.
 type Transition = (SessionState, SessionEvent, SessionState, ReadRequirement);
 
 const TRANSITIONS: [Transition; 36] = [
@@ -76,7 +76,8 @@
         Tracked,
         ReadRequirement::CurrentInstant,
     ),
-    // Earlier writes lie before this one; until it is answered a concurrent read requires the current instant.
+    // Earlier writes have lower positions than this one; until it is answered, a concurrent read requires the current
+    // instant.
     (Unknown, SessionEvent::Write, Unknown, ReadRequirement::None),
     (
         Unknown,
@@ -84,7 +85,7 @@
         Unknown,
         ReadRequirement::None,
     ),
-    // A write's commit lies behind all that the session wrote before, at whichever gateway.
+    // A write commits at a higher position than all earlier writes of its session, at any gateway.
     (
         Unknown,
         SessionEvent::WriteAnswered,
@@ -97,21 +98,22 @@
         Uncertain,
         ReadRequirement::None,
     ),
-    // A token holds for the one read that carries it: the next may lack it, after a write at another gateway.
+    // A token is valid only for the read that carries it: the next read may come without one, after a write at another
+    // gateway.
     (
         Unknown,
         SessionEvent::TokenRead,
         Unknown,
         ReadRequirement::Token,
     ),
-    // A learned position may be old: it raises the requirement and never lowers it.
+    // A learned position may be outdated: it raises the requirement and never lowers it.
     (
         Unknown,
         SessionEvent::PositionLearned,
         Unknown,
         ReadRequirement::None,
     ),
-    // The replica holders answer only where they have all of the session's writes.
+    // The replica holders answer only if they have the positions of all the session's writes.
     (
         Unknown,
         SessionEvent::ReplicatedRead,
@@ -269,10 +271,12 @@
 ];
 
 /// Next state after an event, and what the read must see.
-pub fn next(known: SessionState, event: SessionEvent) -> (SessionState, ReadRequirement) {
+///
+/// A state and event without a transition result in an unknown session and the current instant.
+pub fn next_state(state: SessionState, event: SessionEvent) -> (SessionState, ReadRequirement) {
     let transition = TRANSITIONS
         .iter()
-        .find(|row| row.0 == known && row.1 == event);
+        .find(|row| row.0 == state && row.1 == event);
     transition.map_or((Unknown, ReadRequirement::CurrentInstant), |row| {
         (row.2, row.3)
     })
--- a/crates/sessions/src/tracker.rs
+++ b/crates/sessions/src/tracker.rs
@@ -1,10 +1,9 @@
-//! Tracker of all sessions of one gateway in one epoch: what each read must see, and which positions are persisted for
-//! the next epoch.
+//! Tracks all sessions of one gateway: what each read must see, and which positions are persisted for later epochs.
 //!
 //! # Invariants
 //!
-//! A position is forgotten only where the sketch keeps at least as much, and nothing learned from others lowers a
-//! requirement.
+//! Within an epoch, a position is removed from the index only after it was recorded in the sketch, and nothing learned
+//! from other gateways lowers a requirement.
 
 use fastrand::Rng;
 
@@ -13,23 +12,23 @@
 use crate::position_sketch::PositionSketch;
 use crate::replica_wait::ReplicaWait;
 use crate::session_index::{SessionEntry, SessionIndex};
-use crate::state::{ReadRequirement, SessionEvent, SessionState, next};
+use crate::state::{ReadRequirement, SessionEvent, SessionState, next_state};
 
 /// Configuration of session tracking; times in ticks.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionConfig {
-    /// A session unseen here for this long may have been at another gateway; `None`: it never is while this process
-    /// lives.
+    /// A session that was not seen for this long may have been at another gateway. `None`: sessions use no other
+    /// gateway while this process runs.
     pub exclusive_for: Option<Ticks>,
-    /// There is no other gateway, also while this process is down.
+    /// Whether there is no other gateway, not even while this process is down.
     pub single_instance: bool,
     /// Bound on the difference of any two clocks.
     pub max_clock_skew: Ticks,
-    /// Sessions known exactly at most.
+    /// Maximum number of sessions known exactly.
     pub max_sessions: usize,
-    /// How long a session is known exactly after it was last seen.
+    /// How long a session is known exactly after its last event.
     pub exact_for: Ticks,
-    /// Cells of a row in each slice of the sketch.
+    /// Number of cells of a row in each slice of the sketch.
     pub sketch_width: usize,
 }
 
@@ -46,46 +45,47 @@
     }
 }
 
-/// Position that one read must see.
+/// Requirement of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequiredPosition {
-    /// The position.
+    /// Position that the answering server must have applied.
     pub position: Ticks,
-    /// Whether it names what the session has written, and no more for want of knowledge.
+    /// Whether the position follows from the session's own writes and low watermark, rather than being the current
+    /// instant for lack of knowledge.
     pub exact: bool,
-    /// Before this no primary is asked in place of a replica that is about to catch up.
+    /// Time before which the primary is not asked in place of a replica that is about to catch up.
     pub wait_for_replica_until: Ticks,
 }
 
-/// Position of a session that is persisted beyond this epoch.
+/// Position of a session, in the form that is persisted for later epochs or learned from other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionPosition {
     /// Hash of the session.
     pub session: u64,
-    /// Its position.
+    /// Position of a write of the session.
     pub position: Ticks,
 }
 
-/// Counts of reads by requirement, and of other events.
+/// Counters of reads by requirement, and of other events, since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SessionMetrics {
-    /// Reads whose requirement is what the session wrote.
+    /// Reads whose requirement is the session's last write or low watermark.
     pub exact_reads: u64,
     /// Reads that must see the current instant.
     pub current_instant_reads: u64,
     /// Reads with a valid token.
     pub token_reads: u64,
-    /// Reads whose requirement the replica holders named.
+    /// Reads whose requirement is the position from the replica holders.
     pub replicated_reads: u64,
-    /// Tokens that were no valid ones.
+    /// Tokens that were not valid.
     pub rejected_tokens: u64,
-    /// Sessions evicted from the index.
+    /// Sessions that were evicted from the index or expired in it.
     pub evicted_sessions: u64,
-    /// Epochs begun.
+    /// Epochs started, the first one included.
     pub epochs: u64,
 }
 
-/// Sessions of one gateway.
+/// Tracker of the sessions of one gateway.
 pub struct SessionTracker {
     config: SessionConfig,
     index: SessionIndex,
@@ -93,26 +93,28 @@
     clock: ClockSkew,
     replica_wait: ReplicaWait,
     random: Rng,
-    /// Low watermark of the epoch: every session must see it unless known exactly from before.
-    floor: Ticks,
-    /// Counts since the start.
+    /// Low watermark of the epoch: sessions without an entry in the index must see it.
+    low_watermark: Ticks,
+    /// Counters since the start.
     pub metrics: SessionMetrics,
     /// Positions to be persisted, until they are drained.
-    records: Vec<SessionPosition>,
+    pending_positions: Vec<SessionPosition>,
     last_sweep: Ticks,
 }
 
-/// Positions that wait to be persisted at most; further ones count as lost.
+/// Maximum number of positions that wait to be persisted; further ones are dropped, as if they were lost.
 const MAX_PENDING_POSITIONS: usize = 4_096;
-/// Slices of the sketch: ten minutes of positions that are no longer exact.
+/// Number of slices of the sketch: together they cover ten minutes.
 const SKETCH_SLICES: usize = 10;
+/// Span of a slice, in ticks: one minute.
 const SKETCH_SLICE_SPAN: Ticks = 600_000;
-/// Sweeps in which the whole index is looked through once.
+/// Number of sweep intervals in which the whole index is swept once.
 const SWEEP_CYCLE: usize = 6_000;
+/// Interval of sweeps, in ticks.
 const SWEEP_INTERVAL: Ticks = 100;
 
 impl SessionTracker {
-    /// Begins an epoch in which nothing is known of any session.
+    /// Starts the first epoch, in which all sessions are unknown; `seed` is for the random part of waits.
     pub fn new(config: SessionConfig, now: Ticks, seed: u64) -> SessionTracker {
         let clock = ClockSkew::new(config.max_clock_skew);
         SessionTracker {
@@ -120,28 +122,30 @@
             sketch: PositionSketch::new(config.sketch_width, SKETCH_SLICES, SKETCH_SLICE_SPAN),
             replica_wait: ReplicaWait::new(),
             random: Rng::with_seed(seed),
-            floor: clock.current_instant(now),
+            low_watermark: clock.current_instant(now),
             metrics: SessionMetrics {
                 epochs: 1,
                 ..SessionMetrics::default()
             },
-            records: Vec::new(),
+            pending_positions: Vec::new(),
             last_sweep: now,
             clock,
             config,
         }
     }
 
-    /// Forgets all that is known, as after a restart.
+    /// Starts a new epoch: discards the index and raises the low watermark to the current instant.
     pub fn begin_epoch(&mut self, now: Ticks) {
         self.index = SessionIndex::new(self.config.max_sessions, now - self.config.exact_for);
-        self.floor = self.floor.max(self.clock.current_instant(now));
+        self.low_watermark = self.low_watermark.max(self.clock.current_instant(now));
         self.metrics.epochs += 1;
     }
 
-    /// Both clocks, now and then: a step of the one of the day ends the epoch. Whether it did.
+    /// Compares both clocks, at intervals that the caller chooses; a step of the wall clock ends the epoch.
+    ///
+    /// Returns whether a new epoch was started.
     pub fn on_clocks_read(&mut self, monotonic: Ticks, wall_clock: Ticks, now: Ticks) -> bool {
-        let stepped = self.clock.stepped(monotonic, wall_clock);
+        let stepped = self.clock.detect_step(monotonic, wall_clock);
         if stepped {
             self.begin_epoch(now);
         }
@@ -152,236 +156,246 @@
         self.index
             .get(session)
             .unwrap_or_else(|| match self.config.exclusive_for {
-                // It was at no other gateway: it must see the epoch's low watermark and what the sketch holds.
+                // The session was at no other gateway: its reads must see the epoch's low watermark and the sketch's
+                // bound.
                 None => SessionEntry {
-                    known: SessionState::Tracked,
-                    floor: self.floor,
-                    wrote: self.sketch.upper_bound(session),
-                    seen: 0,
+                    state: SessionState::Tracked,
+                    low_watermark: self.low_watermark,
+                    last_write: self.sketch.upper_bound(session),
+                    last_seen: 0,
                 },
                 Some(_) => SessionEntry::default(),
             })
     }
 
-    fn keep(&mut self, session: u64, entry: &SessionEntry) {
-        if let Some((left, held)) = self.index.set(session, entry) {
-            self.evict(left, &held);
+    fn store(&mut self, session: u64, entry: &SessionEntry) {
+        if let Some((evicted, evicted_entry)) = self.index.set(session, entry) {
+            self.evict(evicted, &evicted_entry);
         }
     }
 
-    fn evict(&mut self, session: u64, held: &SessionEntry) {
+    fn evict(&mut self, session: u64, entry: &SessionEntry) {
         self.metrics.evicted_sessions += 1;
-        // Also the low watermark: a tracked session must see it.
-        self.sketch.record(session, held.wrote.max(held.floor));
+        // The low watermark is recorded too, as a tracked session must see it.
+        self.sketch
+            .record(session, entry.last_write.max(entry.low_watermark));
     }
 
-    fn gap(&self, entry: &SessionEntry, now: Ticks) -> bool {
+    fn has_gap(&self, entry: &SessionEntry, now: Ticks) -> bool {
         self.config
             .exclusive_for
-            .is_some_and(|exclusive_for| now - entry.seen >= exclusive_for)
+            .is_some_and(|exclusive_for| now - entry.last_seen >= exclusive_for)
     }
 
-    /// Whether a read of the session would have to see the current instant, by what is known here alone.
+    /// Whether a read of the session must see the current instant by what is known at this gateway alone.
     pub fn requires_current_instant(&self, session: u64, now: Ticks) -> bool {
         let entry = self.entry(session);
-        let seen = if self.gap(&entry, now) {
+        let event = if self.has_gap(&entry, now) {
             SessionEvent::ReadAfterGap
         } else {
             SessionEvent::Read
         };
-        next(entry.known, seen).1 == ReadRequirement::CurrentInstant
+        next_state(entry.state, event).1 == ReadRequirement::CurrentInstant
     }
 
-    /// Instant up to which anybody may have written.
+    /// Upper bound of the positions of all writes that were committed and answered by now.
     pub fn current_instant(&self, now: Ticks) -> Ticks {
         self.clock.current_instant(now)
     }
 
-    /// A read of a session comes; `carried`: what a token that it carries names, checked; `asked`: what the holders of its
-    /// positions say that it owes, asked since it came.
+    /// Records the arrival of a read at the replica set of index `set`, and returns its requirement.
+    ///
+    /// `token_position` is the position in the read's verified token. `replicated_position` is the position that the
+    /// replica holders returned, who were asked after the read arrived. `objective_left` is the time left to the
+    /// latency objective, in ticks.
     pub fn on_read(
         &mut self,
         session: u64,
         set: usize,
         now: Ticks,
-        target_left: Ticks,
-        carried: Option<Ticks>,
-        asked: Option<Ticks>,
+        objective_left: Ticks,
+        token_position: Option<Ticks>,
+        replicated_position: Option<Ticks>,
     ) -> RequiredPosition {
         self.sweep(now);
         self.replica_wait.on_session_read(set, now);
         let mut entry = self.entry(session);
         let instant = self.clock.current_instant(now);
-        let seen = match carried {
-            // A token from the future is invalid: no write was answered with it.
+        let event = match token_position {
+            // A token from the future is invalid, as no write was answered with it.
             Some(token) if token <= instant => SessionEvent::TokenRead,
             Some(_) => {
                 self.metrics.rejected_tokens += 1;
-                if self.gap(&entry, now) {
+                if self.has_gap(&entry, now) {
                     SessionEvent::ReadAfterGap
                 } else {
                     SessionEvent::Read
                 }
             }
-            None if asked.is_some() => SessionEvent::ReplicatedRead,
-            None if self.gap(&entry, now) => SessionEvent::ReadAfterGap,
+            None if replicated_position.is_some() => SessionEvent::ReplicatedRead,
+            None if self.has_gap(&entry, now) => SessionEvent::ReadAfterGap,
             None => SessionEvent::Read,
         };
-        let (known, owes) = next(entry.known, seen);
-        let token = match owes {
+        let (state, requirement) = next_state(entry.state, event);
+        let required = match requirement {
             ReadRequirement::CurrentInstant => {
-                entry.floor = instant;
+                entry.low_watermark = instant;
                 instant
             }
-            // The token names all that was answered to the session; a write here may be newer.
-            ReadRequirement::Token => carried.unwrap_or(instant).max(entry.wrote),
+            // The token covers all writes answered to the session before; a write at this gateway may be newer.
+            ReadRequirement::Token => token_position.unwrap_or(instant).max(entry.last_write),
             ReadRequirement::Replicated => {
-                entry.floor = asked.unwrap_or(instant).max(entry.wrote);
-                entry.floor
+                entry.low_watermark = replicated_position.unwrap_or(instant).max(entry.last_write);
+                entry.low_watermark
             }
             ReadRequirement::LowWatermark | ReadRequirement::LastWrite | ReadRequirement::None => {
-                entry.wrote.max(entry.floor)
+                entry.last_write.max(entry.low_watermark)
             }
         };
-        (entry.known, entry.seen) = (known, now);
-        self.keep(session, &entry);
-        let exact = owes != ReadRequirement::CurrentInstant;
-        match owes {
+        (entry.state, entry.last_seen) = (state, now);
+        self.store(session, &entry);
+        let exact = requirement != ReadRequirement::CurrentInstant;
+        match requirement {
             ReadRequirement::Token => self.metrics.token_reads += 1,
             ReadRequirement::CurrentInstant => self.metrics.current_instant_reads += 1,
             ReadRequirement::Replicated => self.metrics.replicated_reads += 1,
             _ => self.metrics.exact_reads += 1,
         }
-        // Replicas have an older position by now, or are late for reasons that waiting does not mend.
-        let fresh = now - token <= self.replica_wait.catch_up_time(set) * 2;
-        let wait_for_replica_until = if fresh {
+        // Replicas have applied an older position by now, or lag for reasons that waiting does not solve.
+        let is_recent = now - required <= self.replica_wait.catch_up_time(set) * 2;
+        let wait_for_replica_until = if is_recent {
             self.replica_wait
-                .wait_until(set, now, target_left, &mut self.random)
+                .wait_until(set, now, objective_left, &mut self.random)
         } else {
             now
         };
         RequiredPosition {
-            position: token,
+            position: required,
             exact,
             wait_for_replica_until,
         }
     }
 
-    /// Takes in the arrival of a write.
+    /// Records the arrival of a write.
     pub fn on_write(&mut self, session: u64, now: Ticks) {
         self.sweep(now);
         let mut entry = self.entry(session);
-        let seen = if self.gap(&entry, now) {
+        let event = if self.has_gap(&entry, now) {
             SessionEvent::WriteAfterGap
         } else {
             SessionEvent::Write
         };
-        (entry.known, _) = next(entry.known, seen);
-        entry.seen = now;
-        self.keep(session, &entry);
+        (entry.state, _) = next_state(entry.state, event);
+        entry.last_seen = now;
+        self.store(session, &entry);
     }
 
-    /// A write was answered; `None` where the answer named no plausible position.
+    /// Records the answer of a write; `position` is `None` if the answer reported no plausible position.
     pub fn on_write_answered(&mut self, session: u64, now: Ticks, position: Option<Ticks>) {
         let Some(position) = position else {
             return self.on_write_uncertain(session, now);
         };
         let mut entry = self.entry(session);
-        (entry.known, _) = next(entry.known, SessionEvent::WriteAnswered);
-        (entry.wrote, entry.seen) = (entry.wrote.max(position), now);
-        self.keep(session, &entry);
+        (entry.state, _) = next_state(entry.state, SessionEvent::WriteAnswered);
+        (entry.last_write, entry.last_seen) = (entry.last_write.max(position), now);
+        self.store(session, &entry);
         self.clock.on_primary_position(now, position);
-        if self.records.len() < MAX_PENDING_POSITIONS {
-            self.records.push(SessionPosition { session, position });
+        if self.pending_positions.len() < MAX_PENDING_POSITIONS {
+            self.pending_positions
+                .push(SessionPosition { session, position });
         }
     }
 
-    /// A write ended, may have executed, and has no position.
+    /// Records the end of a write that may have executed, without a position.
     pub fn on_write_uncertain(&mut self, session: u64, now: Ticks) {
         let mut entry = self.entry(session);
-        (entry.known, _) = next(entry.known, SessionEvent::WriteUncertain);
-        entry.seen = now;
-        self.keep(session, &entry);
+        (entry.state, _) = next_state(entry.state, SessionEvent::WriteUncertain);
+        entry.last_seen = now;
+        self.store(session, &entry);
     }
 
-    /// A position was learned from another gateway or an earlier epoch.
+    /// Records a position from another gateway or an earlier epoch.
     pub fn on_position_learned(&mut self, record: &SessionPosition) {
         let mut entry = self.entry(record.session);
-        (entry.known, _) = next(entry.known, SessionEvent::PositionLearned);
-        entry.wrote = entry.wrote.max(record.position);
-        self.keep(record.session, &entry);
+        (entry.state, _) = next_state(entry.state, SessionEvent::PositionLearned);
+        entry.last_write = entry.last_write.max(record.position);
+        self.store(record.session, &entry);
     }
 
-    /// What was kept of the epoch before. `whole`: it ended in order, and all of it is here but for what lies up to that
-    /// position. Only then, and where there is no other instance, is that all that sessions owe; else it may raise what a
-    /// session owes and nothing more.
+    /// Restores the positions that were persisted in earlier epochs.
+    ///
+    /// `complete_above` is given if the last epoch ended in order: then `records` holds all positions above it. Only
+    /// then, and if there is no other instance, it becomes the low watermark, and sessions must see no more than their
+    /// restored positions beyond it. Otherwise the restored positions only raise requirements.
     pub fn restore(
         &mut self,
         records: impl Iterator<Item = SessionPosition>,
-        whole: Option<Ticks>,
+        complete_above: Option<Ticks>,
     ) {
-        if let Some(gone) =
-            whole.filter(|_| self.config.single_instance && self.config.exclusive_for.is_none())
+        if let Some(position) = complete_above
+            .filter(|_| self.config.single_instance && self.config.exclusive_for.is_none())
         {
-            self.floor = gone;
+            self.low_watermark = position;
         }
         records.for_each(|record| self.on_position_learned(&record));
     }
 
-    /// Whether an answer from `position` satisfies a read's requirement. A replica ahead of the present is not believed.
+    /// Whether an answer of a server at `position` covers the position `required` by a read.
+    ///
+    /// A replica that reports a position in the future covers none.
     pub fn satisfies(
         &mut self,
         now: Ticks,
         primary: bool,
         position: Option<Ticks>,
-        token: Ticks,
+        required: Ticks,
     ) -> bool {
         let Some(position) = position else {
             return primary;
         };
         if primary {
             self.clock.on_primary_position(now, position);
-            // A primary is at the present; its report is older by the answer's way only.
+            // A primary is at the present: its report is older only by the transmission time of the answer.
             return true;
         }
-        position >= token && self.clock.is_plausible(now, position)
+        position >= required && self.clock.is_plausible(now, position)
     }
 
-    /// Outcome of a read of the current instant at a replica, `after` its arrival.
-    pub fn on_replica_read(&mut self, set: usize, now: Ticks, after: Ticks, covered: bool) {
-        if covered {
-            self.replica_wait.on_caught_up(set, now, after);
+    /// Records whether a replica had caught up with the instant of a read, `elapsed` ticks after the read's arrival.
+    pub fn on_replica_read(&mut self, set: usize, now: Ticks, elapsed: Ticks, caught_up: bool) {
+        if caught_up {
+            self.replica_wait.on_caught_up(set, now, elapsed);
         } else {
-            self.replica_wait.on_not_caught_up(set, now, after);
+            self.replica_wait.on_not_caught_up(set, now, elapsed);
         }
     }
 
-    /// Takes the positions that are to be persisted.
+    /// Removes and returns the positions to be persisted.
     pub fn drain_positions(&mut self) -> std::vec::Drain<'_, SessionPosition> {
-        self.records.drain(..)
+        self.pending_positions.drain(..)
     }
 
     fn sweep(&mut self, now: Ticks) {
         if now - self.last_sweep < SWEEP_INTERVAL {
             return;
         }
-        let looks = ((now - self.last_sweep) / SWEEP_INTERVAL).min(100) as usize;
+        let intervals = ((now - self.last_sweep) / SWEEP_INTERVAL).min(100) as usize;
         self.last_sweep = now;
-        let places = (self.config.max_sessions / SWEEP_CYCLE + 1) * looks;
+        let slots = (self.config.max_sessions / SWEEP_CYCLE + 1) * intervals;
         let (sketch, metrics) = (&mut self.sketch, &mut self.metrics);
         self.index
-            .sweep(places, now - self.config.exact_for, |session, held| {
+            .sweep(slots, now - self.config.exact_for, |session, entry| {
                 metrics.evicted_sessions += 1;
-                sketch.record(session, held.wrote.max(held.floor));
+                sketch.record(session, entry.last_write.max(entry.low_watermark));
             });
     }
 
-    /// Sessions known exactly.
+    /// Number of sessions known exactly.
     pub fn session_count(&self) -> usize {
         self.index.len()
     }
 
-    /// Bytes taken by the index and the sketch.
+    /// Size of the index and the sketch, in bytes.
     pub fn bytes(&self) -> usize {
         self.index.bytes() + self.sketch.bytes()
     }
--- a/crates/sessions/tests/sessions.rs
+++ b/crates/sessions/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! What a read owes, over courses of a session; the index against a plain map; the summary never asks for less.
+//! What reads must see after sequences of session events; the index agrees with a map; the sketch never lowers a
+//! requirement.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +7,22 @@
 use leverpoint_sessions::{
     ClockSkew, Key, Keys, PositionSketch, ReadRequirement, ReplicaWait, SessionConfig,
     SessionEntry, SessionEvent, SessionIndex, SessionPosition, SessionState, SessionToken,
-    SessionTracker, next,
+    SessionTracker, next_state,
 };
 
 const MS: i64 = 10;
-const BEGAN: i64 = 1_000_000 * MS;
+const START: i64 = 1_000_000 * MS;
 
 #[test]
 fn transitions_cover_all_events_and_unknown_sessions_require_the_current_instant() {
     let mut out = String::new();
-    let known = [
+    let states = [
         SessionState::Unknown,
         SessionState::Uncertain,
         SessionState::Tracked,
         SessionState::Wrote,
     ];
-    let seen = [
+    let events = [
         SessionEvent::Read,
         SessionEvent::ReadAfterGap,
         SessionEvent::Write,
@@ -31,40 +32,42 @@
         SessionEvent::TokenRead,
         SessionEvent::PositionLearned,
     ];
-    for known in known {
-        for seen in seen {
-            let (next, owes) = next(known, seen);
-            out += &format!("{known:?}, {seen:?}: {next:?}, {owes:?}\n");
-            let blind = matches!(known, SessionState::Unknown | SessionState::Uncertain)
-                && seen == SessionEvent::Read;
-            assert!(!blind || owes == ReadRequirement::CurrentInstant);
+    for state in states {
+        for event in events {
+            let (next, requirement) = next_state(state, event);
+            out += &format!("{state:?}, {event:?}: {next:?}, {requirement:?}\n");
+            let uninformed_read = matches!(state, SessionState::Unknown | SessionState::Uncertain)
+                && event == SessionEvent::Read;
+            assert!(!uninformed_read || requirement == ReadRequirement::CurrentInstant);
         }
     }
     insta::assert_snapshot!(out);
 }
 
-/// A course: what happens to session 5 after so many milliseconds, and what a read then owes of the time before it.
-fn course(config: SessionConfig, steps: &[(i64, &str)]) -> String {
-    let mut tracker = SessionTracker::new(config, BEGAN, 3);
+/// Applies events to session 5, each at its time in milliseconds, and returns the requirement of each read.
+fn run_events(config: SessionConfig, events: &[(i64, &str)]) -> String {
+    let mut tracker = SessionTracker::new(config, START, 3);
     let mut out = String::new();
-    for (ms, what) in steps {
-        let now = BEGAN + ms * MS;
-        let asks = |tracker: &mut SessionTracker, carried, asked| {
-            let debt = tracker.on_read(5, 0, now, 4_000, carried, asked);
-            let of = (debt.position - BEGAN) as f64 / 10.0;
+    for (ms, event) in events {
+        let now = START + ms * MS;
+        let read_with = |tracker: &mut SessionTracker, token_position, replicated_position| {
+            let requirement =
+                tracker.on_read(5, 0, now, 4_000, token_position, replicated_position);
+            let required_ms = (requirement.position - START) as f64 / 10.0;
             format!(
-                "owes all up to {of} ms, {}",
-                if debt.exact {
+                "owes all up to {required_ms} ms, {}",
+                if requirement.exact {
                     "exactly"
                 } else {
                     "for want of knowledge"
                 }
             )
         };
-        let read = |tracker: &mut SessionTracker, carried| asks(tracker, carried, None);
-        let said = match *what {
+        let read =
+            |tracker: &mut SessionTracker, token_position| read_with(tracker, token_position, None);
+        let result = match *event {
             "read" => read(&mut tracker, None),
-            "read with a token of 40 ms" => read(&mut tracker, Some(BEGAN + 40 * MS)),
+            "read with a token of 40 ms" => read(&mut tracker, Some(START + 40 * MS)),
             "read with a token from the future" => read(&mut tracker, Some(now + 60_000 * MS)),
             "write" => {
                 tracker.on_write(5, now);
@@ -78,11 +81,11 @@
                 tracker.on_write_uncertain(5, now);
                 String::new()
             }
-            "read, its holders say 40 ms" => asks(&mut tracker, None, Some(BEGAN + 40 * MS)),
+            "read, its holders say 40 ms" => read_with(&mut tracker, None, Some(START + 40 * MS)),
             "told 30 ms" => {
                 tracker.on_position_learned(&SessionPosition {
                     session: 5,
-                    position: BEGAN + 30 * MS,
+                    position: START + 30 * MS,
                 });
                 String::new()
             }
@@ -96,8 +99,8 @@
             other => panic!("{other}"),
         };
         out += &format!(
-            "{ms:>6} ms {what}{}{said}\n",
-            if said.is_empty() { "" } else { ": " }
+            "{ms:>6} ms {event}{}{result}\n",
+            if result.is_empty() { "" } else { ": " }
         );
     }
     out
@@ -105,35 +108,35 @@
 
 #[test]
 fn requirements_follow_the_events_of_a_session() {
-    let anywhere = SessionConfig {
+    let any_gateway = SessionConfig {
         max_clock_skew: 0,
         ..SessionConfig::default()
     };
-    let exclusive_for = SessionConfig {
+    let exclusive = SessionConfig {
         exclusive_for: Some(2_000 * MS),
-        ..anywhere
+        ..any_gateway
     };
-    let never_moves = SessionConfig {
+    let single_gateway = SessionConfig {
         exclusive_for: None,
-        ..anywhere
+        ..any_gateway
     };
     let mut out = String::new();
-    let mut play = |name: &str, config, steps: &[(i64, &str)]| {
-        out += &format!("{name}\n{}", course(config, steps));
+    let mut record = |name: &str, config, events: &[(i64, &str)]| {
+        out += &format!("{name}\n{}", run_events(config, events));
     };
-    let usual = [
+    let write_and_reads = [
         (10, "write"),
         (20, "answered"),
         (100, "read"),
         (300, "read"),
         (5_000, "read"),
     ];
-    play("may be anywhere", anywhere, &usual);
-    play("stays for two seconds", exclusive_for, &usual);
-    play("never moves", never_moves, &usual);
-    play(
+    record("may be anywhere", any_gateway, &write_and_reads);
+    record("stays for two seconds", exclusive, &write_and_reads);
+    record("never moves", single_gateway, &write_and_reads);
+    record(
         "a read before its write's answer",
-        exclusive_for,
+        exclusive,
         &[
             (10, "read"),
             (20, "write"),
@@ -142,26 +145,26 @@
             (50, "read"),
         ],
     );
-    play(
+    record(
         "a write whose answer was lost",
-        exclusive_for,
+        exclusive,
         &[(10, "write"), (30, "unclear"), (50, "read"), (60, "read")],
     );
-    play(
+    record(
         "never met, told of a write",
-        exclusive_for,
+        exclusive,
         &[(10, "told 30 ms"), (50, "read")],
     );
-    play(
+    record(
         "carried",
-        anywhere,
+        any_gateway,
         &[
             (100, "read with a token of 40 ms"),
             (110, "read with a token from the future"),
             (120, "read"),
         ],
     );
-    let asked = [
+    let replicated_reads = [
         (100, "read, its holders say 40 ms"),
         (110, "read"),
         (120, "write"),
@@ -170,19 +173,19 @@
         (150, "unclear"),
         (160, "read, its holders say 40 ms"),
     ];
-    play("its holders are asked", anywhere, &asked);
-    play(
+    record("its holders are asked", any_gateway, &replicated_reads);
+    record(
         "carries less than passed here",
-        never_moves,
+        single_gateway,
         &[
             (50, "write"),
             (60, "answered"),
             (100, "read with a token of 40 ms"),
         ],
     );
-    play(
+    record(
         "a clock steps",
-        never_moves,
+        single_gateway,
         &[(50, "write"), (60, "answered"), (70, "step"), (100, "read")],
     );
     insta::assert_snapshot!(out);
@@ -191,81 +194,84 @@
 #[test]
 fn index_agrees_with_a_map_and_returns_evicted_entries() {
     let mut random = Rng::with_seed(5);
-    let mut index = SessionIndex::new(300, BEGAN);
-    let mut plain: BTreeMap<u64, SessionEntry> = BTreeMap::new();
+    let mut index = SessionIndex::new(300, START);
+    let mut expected: BTreeMap<u64, SessionEntry> = BTreeMap::new();
     for n in 1..20_000 {
-        let number = random.u64(1..600) << 20 | 1;
-        let now = BEGAN + n * 8;
+        let session = random.u64(1..600) << 20 | 1;
+        let now = START + n * 8;
         let entry = SessionEntry {
-            known: SessionState::Wrote,
-            floor: 0,
-            wrote: now,
-            seen: now & !3,
+            state: SessionState::Wrote,
+            low_watermark: 0,
+            last_write: now,
+            last_seen: now & !3,
         };
-        if let Some((left, held)) = index.set(number, &entry) {
-            assert_eq!(plain.remove(&left), Some(held));
+        if let Some((evicted, evicted_entry)) = index.set(session, &entry) {
+            assert_eq!(expected.remove(&evicted), Some(evicted_entry));
         }
-        plain.insert(number, entry);
-        assert_eq!(index.len(), plain.len());
+        expected.insert(session, entry);
+        assert_eq!(index.len(), expected.len());
         if n % 500 == 0 {
-            index.sweep(64, now - 2_000, |left, held| {
-                assert_eq!(plain.remove(&left), Some(held));
+            index.sweep(64, now - 2_000, |expired, expired_entry| {
+                assert_eq!(expected.remove(&expired), Some(expired_entry));
             });
-            plain
+            expected
                 .iter()
-                .for_each(|(number, held)| assert_eq!(index.get(*number), Some(*held)));
+                .for_each(|(session, entry)| assert_eq!(index.get(*session), Some(*entry)));
         }
     }
-    assert!(plain.len() > 200);
+    assert!(expected.len() > 200);
 }
 
 #[test]
 fn rebasing_the_index_never_lowers_a_requirement() {
-    let mut index = SessionIndex::new(16, BEGAN);
+    let mut index = SessionIndex::new(16, START);
     let old = SessionEntry {
-        known: SessionState::Wrote,
-        floor: 0,
-        wrote: BEGAN + 50,
-        seen: BEGAN + 52,
+        state: SessionState::Wrote,
+        low_watermark: 0,
+        last_write: START + 50,
+        last_seen: START + 52,
     };
     index.set(7, &old);
-    let far = BEGAN + (1 << 33);
+    let later = START + (1 << 33);
     index.set(
         8,
         &SessionEntry {
-            known: SessionState::Tracked,
-            floor: far,
-            wrote: 0,
-            seen: far,
+            state: SessionState::Tracked,
+            low_watermark: later,
+            last_write: 0,
+            last_seen: later,
         },
     );
-    let held = index.get(7).unwrap();
-    assert!(held.wrote >= old.wrote && held.seen <= old.seen, "{held:?}");
-    assert_eq!(index.get(8).unwrap().floor, far);
+    let rebased = index.get(7).unwrap();
+    assert!(
+        rebased.last_write >= old.last_write && rebased.last_seen <= old.last_seen,
+        "{rebased:?}"
+    );
+    assert_eq!(index.get(8).unwrap().low_watermark, later);
 }
 
 #[test]
-fn sketch_never_answers_less_than_was_recorded() {
+fn sketch_never_returns_less_than_was_recorded() {
     let mut random = Rng::with_seed(9);
     let mut sketch = PositionSketch::new(64, 5, 1_000);
-    let mut plain: BTreeMap<u64, i64> = BTreeMap::new();
+    let mut recorded: BTreeMap<u64, i64> = BTreeMap::new();
     for n in 0..30_000i64 {
-        // Also out of order, by up to a few slices.
+        // Positions are also recorded out of order, by up to a few slices.
         let (session, position) = (random.u64(..), (n - random.i64(0..4_000)).max(1));
         let session = if random.bool() {
             session
         } else {
-            *plain.keys().next().unwrap_or(&session)
+            *recorded.keys().next().unwrap_or(&session)
         };
         sketch.record(session, position);
-        let held = plain.entry(session).or_default();
-        *held = (*held).max(position);
-        if plain.len() > 200 {
-            plain.clear();
+        let highest = recorded.entry(session).or_default();
+        *highest = (*highest).max(position);
+        if recorded.len() > 200 {
+            recorded.clear();
         }
-        plain
+        recorded
             .iter()
-            .for_each(|(session, wrote)| assert!(sketch.upper_bound(*session) >= *wrote));
+            .for_each(|(session, highest)| assert!(sketch.upper_bound(*session) >= *highest));
     }
     assert!(sketch.bytes() <= 5 * 2 * 64 * 4);
 }
@@ -279,16 +285,19 @@
         sketch_width: 1_024,
         ..SessionConfig::default()
     };
-    let mut tracker = SessionTracker::new(config, BEGAN, 1);
-    let wrote = |n: u64| BEGAN + n as i64 * 3;
+    let mut tracker = SessionTracker::new(config, START, 1);
+    let position_of = |n: u64| START + n as i64 * 3;
     for n in 1..2_000u64 {
-        tracker.on_write(n << 24, wrote(n));
-        tracker.on_write_answered(n << 24, wrote(n), Some(wrote(n)));
+        tracker.on_write(n << 24, position_of(n));
+        tracker.on_write_answered(n << 24, position_of(n), Some(position_of(n)));
     }
     assert!(tracker.session_count() <= 64 && tracker.metrics.evicted_sessions > 1_900);
     for n in 1..2_000u64 {
-        let debt = tracker.on_read(n << 24, 0, wrote(2_000), 4_000, None, None);
-        assert!(debt.position >= wrote(n) && debt.exact, "{n}: {debt:?}");
+        let requirement = tracker.on_read(n << 24, 0, position_of(2_000), 4_000, None, None);
+        assert!(
+            requirement.position >= position_of(n) && requirement.exact,
+            "{n}: {requirement:?}"
+        );
     }
 }
 
@@ -318,12 +327,12 @@
     assert_eq!(
         SessionToken::verify(&old, &text, 6),
         None,
-        "another session's"
+        "token of another session"
     );
     assert_eq!(
         SessionToken::verify(&Keys::new(vec![key(2, 8)]), &text, 5),
         None,
-        "a key that has gone"
+        "key that was removed"
     );
     assert_eq!(
         SessionToken::verify(
@@ -337,7 +346,7 @@
             5
         ),
         None,
-        "a key not held yet"
+        "key that is not known yet"
     );
     assert_eq!(
         SessionToken {
@@ -347,15 +356,15 @@
         .sign(&Keys::default()),
         None
     );
-    for at in 0..text.len() {
+    for index in 0..text.len() {
         for byte in *b"Ax_" {
             let mut forged = text.clone().into_bytes();
-            if std::mem::replace(&mut forged[at], byte) != byte {
-                // The last digit's low bits say nothing, and are refused unless they are as they were.
+            if std::mem::replace(&mut forged[index], byte) != byte {
+                // The low bits of the last digit carry no data; a token in which they differ is still rejected.
                 assert_eq!(
                     SessionToken::verify(&old, std::str::from_utf8(&forged).unwrap(), 5),
                     None,
-                    "{at}"
+                    "{index}"
                 );
             }
         }
@@ -372,25 +381,25 @@
 #[test]
 fn primary_positions_reveal_clock_skew_and_replicas_ahead_are_implausible() {
     let mut clock = ClockSkew::new(10);
-    assert_eq!(clock.current_instant(BEGAN), BEGAN + 10);
-    clock.on_primary_position(BEGAN, BEGAN + 300);
-    assert_eq!(clock.current_instant(BEGAN), BEGAN + 310);
-    assert!(clock.is_plausible(BEGAN, BEGAN + 310) && !clock.is_plausible(BEGAN, BEGAN + 311));
-    (0..1_000).for_each(|_| clock.on_primary_position(BEGAN, BEGAN - 5));
-    assert!(clock.current_instant(BEGAN) < BEGAN + 80);
+    assert_eq!(clock.current_instant(START), START + 10);
+    clock.on_primary_position(START, START + 300);
+    assert_eq!(clock.current_instant(START), START + 310);
+    assert!(clock.is_plausible(START, START + 310) && !clock.is_plausible(START, START + 311));
+    (0..1_000).for_each(|_| clock.on_primary_position(START, START - 5));
+    assert!(clock.current_instant(START) < START + 80);
     let mut tracker = SessionTracker::new(
         SessionConfig {
             max_clock_skew: 10,
             ..SessionConfig::default()
         },
-        BEGAN,
+        START,
         1,
     );
-    assert!(!tracker.satisfies(BEGAN, false, Some(BEGAN + 5_000), BEGAN));
-    assert!(tracker.satisfies(BEGAN, false, Some(BEGAN + 5), BEGAN));
+    assert!(!tracker.satisfies(START, false, Some(START + 5_000), START));
+    assert!(tracker.satisfies(START, false, Some(START + 5), START));
     assert!(
-        !tracker.satisfies(BEGAN, false, None, BEGAN)
-            && tracker.satisfies(BEGAN, true, None, BEGAN)
+        !tracker.satisfies(START, false, None, START)
+            && tracker.satisfies(START, true, None, START)
     );
 }
 
@@ -398,24 +407,24 @@
 fn replica_waits_follow_catch_up_times_and_few_reads_go_to_the_primary() {
     let (mut replica_wait, mut random) = (ReplicaWait::new(), Rng::with_seed(2));
     let mut out = String::new();
-    for (name, needs) in [
+    for (name, catch_up_time) in [
         ("replicas 8 ms behind", 80),
         ("90 ms behind", 900),
         ("2 s behind", 20_000),
     ] {
-        (0..64).for_each(|_| replica_wait.on_caught_up(0, BEGAN, needs));
-        let mut holds: Vec<i64> = (0..200)
+        (0..64).for_each(|_| replica_wait.on_caught_up(0, START, catch_up_time));
+        let mut waits: Vec<i64> = (0..200)
             .map(|n| {
-                let now = BEGAN + n * 50;
+                let now = START + n * 50;
                 replica_wait.on_session_read(0, now);
                 replica_wait.wait_until(0, now, 4_000, &mut random) - now
             })
             .collect();
-        holds.sort_unstable();
-        let at_once = holds.iter().filter(|hold| **hold == 0).count();
+        waits.sort_unstable();
+        let at_once = waits.iter().filter(|wait| **wait == 0).count();
         out += &format!(
             "{name}: {at_once} of 200 at once, waits of {} to {} tenths, half below {}\n",
-            holds[at_once], holds[199], holds[100]
+            waits[at_once], waits[199], waits[100]
         );
     }
     insta::assert_snapshot!(out);
