--- a/crates/backpressure/src/connections.rs
+++ b/crates/backpressure/src/connections.rs
@@ -66,7 +66,7 @@
     sends_row: bool,
     /// Estimated size of the connection's responses, in bytes; `None` before the first of them.
     own_estimate: Option<usize>,
-    /// Time until which a complete answer is due to the client.
+    /// Time until which a complete, final answer is due to the client.
     answer_due_until: Ticks,
     /// Index of the connection in `unread_connections`.
     unread_index: Option<usize>,
--- a/crates/sessions/src/tracker.rs
+++ b/crates/sessions/src/tracker.rs
@@ -2,8 +2,8 @@
 //!
 //! # Invariants
 //!
-//! Within an epoch, a position is removed from the index only after it was recorded in the sketch, and nothing learned
-//! from other gateways lowers a requirement.
+//! Within an epoch, each position that leaves the index is recorded in the sketch, and nothing learned from other
+//! gateways lowers a requirement.
 
 use fastrand::Rng;
 
