--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -177,11 +177,11 @@
     /// Checks the connections with unacknowledged bytes periodically; never returns.
     pub async fn monitor(self: Rc<Self>) {
         loop {
-            while self.backpressure.borrow().waiting().is_empty() {
+            while self.backpressure.borrow().unread_connections().is_empty() {
                 self.unacknowledged.notified().await;
             }
             sleep(CHECK_INTERVAL).await;
-            let waiting = self.backpressure.borrow().waiting().to_vec();
+            let waiting = self.backpressure.borrow().unread_connections().to_vec();
             let mut held_bytes = self.pool_bytes();
             for client in waiting.into_iter().filter_map(|id| self.client(id)) {
                 let unacknowledged = client.unacknowledged_bytes();
@@ -203,8 +203,8 @@
     /// Returns the counters of connections and buffers as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let backpressure = self.backpressure.borrow();
-        let [unproven, proven, slow, stalled] = backpressure.counts();
-        let (evicted, shed) = backpressure.totals();
+        let [unproven, proven, slow, stalled] = backpressure.counts_by_state();
+        let (evicted, shed) = backpressure.evicted_and_shed();
         let pools = [BufferKind::Request, BufferKind::Response].map(|kind| backpressure.pool(kind));
         let peak = self
             .peak_held_bytes
@@ -214,7 +214,7 @@
             "peers.new={unproven} peers.usual={proven} peers.slow={slow} peers.stalled={stalled} peers.untaken={} \
              peers.let_go={evicted} peers.sent_back={shed} held.statements={} held.answers={} \
              held.promised={} held.peak={peak}",
-            backpressure.waiting().len(),
+            backpressure.unread_connections().len(),
             pools[0].held(),
             pools[1].held(),
             pools[1].reserved(),
@@ -356,7 +356,7 @@
         self.connections
             .backpressure
             .borrow_mut()
-            .came(self.connections.now(), self.id, bytes);
+            .on_bytes_received(self.connections.now(), self.id, bytes);
     }
 
     /// Records that a message received in several parts is complete.
@@ -372,7 +372,7 @@
         self.connections
             .backpressure
             .borrow_mut()
-            .excuse(self.id, duration_to_ticks(waited));
+            .exclude_wait(self.id, duration_to_ticks(waited));
     }
 
     /// Checks the rate of an incomplete message. Returns when to check it again; none if the client is too slow and is
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -115,7 +115,7 @@
 
     /// Returns the replication position that covers all writes answered by `now`.
     pub fn position_at(&self, now: Ticks) -> Ticks {
-        self.tracker.borrow().instant(now)
+        self.tracker.borrow().current_instant(now)
     }
 
     /// Sets the function that persists new positions.
@@ -167,7 +167,7 @@
             .token
             .and_then(|token| self.verified_position(token, arrival.session_hash));
         if arrival.token.is_some() && verified.is_none() {
-            tracker.counts.refused_tokens += 1;
+            tracker.metrics.rejected_tokens += 1;
         }
         tracker.on_read(
             arrival.session_hash,
@@ -184,7 +184,7 @@
         if plant("token-forged") {
             return Some(1);
         }
-        SessionToken::read(&self.keys, text, session)
+        SessionToken::verify(&self.keys, text, session)
     }
 
     /// Whether a complete row must be held back until the server has reported its role and position.
@@ -303,19 +303,19 @@
     /// Returns the counters as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let tracker = self.tracker.borrow();
-        let counts = tracker.counts;
+        let metrics = tracker.metrics;
         format!(
             "sessions.known={} sessions.bytes={} reads.exact={} reads.instant={} reads.carried={} reads.asked={} \
              tokens.refused={} sessions.let_go={} epochs={}",
-            tracker.sessions(),
+            tracker.session_count(),
             tracker.bytes(),
-            counts.exact,
-            counts.instant,
-            counts.carried,
-            counts.asked,
-            counts.refused_tokens,
-            counts.evicted,
-            counts.epochs
+            metrics.exact_reads,
+            metrics.current_instant_reads,
+            metrics.token_reads,
+            metrics.replicated_reads,
+            metrics.rejected_tokens,
+            metrics.evicted_sessions,
+            metrics.epochs
         )
     }
 }
