--- a/crates/engine/src/attempt_error.rs
+++ b/crates/engine/src/attempt_error.rs
@@ -1,7 +1,7 @@
 //! How an attempt fails: its cause, and the progress that decides whether it may have been executed.
 
 use leverpoint_routing::api::AttemptOutcome;
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 
 /// How far an attempt has come; it only ever advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -55,9 +55,11 @@
             (_, Cause::Cancelled) => AttemptOutcome::Cancelled,
             (true, Cause::ConnectionRejected) => AttemptOutcome::Overloaded,
             (true, _) => AttemptOutcome::NotConnected,
-            (false, Cause::TimedOut) if plant("time-out-never-ran") => AttemptOutcome::NotSent,
+            (false, Cause::TimedOut) if failpoint_active("time-out-never-ran") => {
+                AttemptOutcome::NotSent
+            }
             (false, Cause::TimedOut) => AttemptOutcome::TimedOut,
-            (false, _) if plant("reset-never-ran") => AttemptOutcome::NotConnected,
+            (false, _) if failpoint_active("reset-never-ran") => AttemptOutcome::NotConnected,
             (false, _) => AttemptOutcome::Reset,
         }
     }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -6,7 +6,7 @@
 
 use leverpoint_config::settings::{ceil_ticks, floor_ticks};
 use leverpoint_routing::api::{AttemptOutcome, FinishedAttempt, ServerReport, Ticks};
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 use tokio::sync::Notify;
 
 use crate::attempt::{Attempt, AttemptKind, AttemptRequest, AttemptServer, ReportedParameters};
@@ -94,7 +94,7 @@
         let held = open.held;
         let server_report = self
             .server_report(report.reported, held.write && answered)
-            .filter(|_| !(held.write && plant("token-forgotten")));
+            .filter(|_| !(held.write && failpoint_active("token-forgotten")));
         if let (Some(reads), Some(session)) = (&self.session_consistency, &open.session) {
             reads.on_attempt_finished(session, now, report.outcome, server_report);
         }
@@ -179,10 +179,10 @@
 
     /// Sends a request its final answer, if it has none yet.
     pub(crate) fn deliver(&self, request: usize, answer: FinalAnswer) {
-        if plant("wait-without-end") && !matches!(answer, FinalAnswer::Answered(_)) {
+        if failpoint_active("wait-without-end") && !matches!(answer, FinalAnswer::Answered(_)) {
             return;
         }
-        let answer = if plant("other-value") {
+        let answer = if failpoint_active("other-value") {
             previous_row_instead(answer)
         } else {
             answer
--- a/crates/engine/src/buffer_reservation.rs
+++ b/crates/engine/src/buffer_reservation.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use leverpoint_backpressure::BufferKind;
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 
 use crate::client_connections::ClientConnection;
 
@@ -32,7 +32,7 @@
 
 impl Drop for BufferReservation {
     fn drop(&mut self) {
-        if plant("claim-kept") {
+        if failpoint_active("claim-kept") {
             // The client's leaving would release it.
             return std::mem::forget(self.owner.clone());
         }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -9,7 +9,7 @@
     Endpoint, EndpointState, EndpointUpdate, PrimaryAnnouncement, Ticks,
 };
 use leverpoint_routing::interning::Indices;
-use leverpoint_runtime::{Instant, now, plant, since};
+use leverpoint_runtime::{Instant, failpoint_active, now, since};
 
 use crate::latch::Latch;
 
@@ -102,7 +102,7 @@
             replaced.push(server);
         }
         let zone = zones.iter().position(|zone| *zone == entry.zone);
-        let long_ago = entry.started_ms == 0.0 || plant("cold-flooded");
+        let long_ago = entry.started_ms == 0.0 || failpoint_active("cold-flooded");
         Endpoint {
             server,
             set: self.sets.index(&entry.set),
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -6,7 +6,7 @@
 
 use leverpoint_routing::api::{Consistency, Idempotency, Request, Ticks};
 use leverpoint_routing::interning::{RequestUsage, Sessions};
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 use tokio::sync::{Notify, oneshot};
 
 use crate::client_connections::ClientConnection;
@@ -135,7 +135,7 @@
     /// Removes a request that is over and has no attempt outstanding, and frees its index.
     pub(crate) fn remove_done(&mut self, index: usize) -> Option<OpenRequest> {
         let done = |open: &OpenRequest| {
-            open.held.is_releasable() || plant("index-early") && open.held.finished
+            open.held.is_releasable() || failpoint_active("index-early") && open.held.finished
         };
         let open = self.requests[index].take_if(|open| done(open))?;
         self.free.push(index);
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_config::operator::SessionTracking;
 use leverpoint_routing::api::{AttemptOutcome, Consistency, ServerReport, Ticks};
-use leverpoint_runtime::{plant, unix};
+use leverpoint_runtime::{failpoint_active, unix};
 use leverpoint_sessions::{
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
@@ -76,7 +76,7 @@
 impl SessionConsistency {
     /// Starts the tracking of sessions.
     pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
-        if plant("epoch-forgotten") {
+        if failpoint_active("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
         let book = RefCell::new(SessionTracker::new(tracking.config, now, seed));
@@ -177,7 +177,7 @@
 
     /// The position that a session token proves; none where the token is not valid for the session.
     fn verified_position(&self, text: &str, session: u64) -> Option<Ticks> {
-        if plant("token-forged") {
+        if failpoint_active("token-forged") {
             return Some(1);
         }
         SessionToken::read(&self.keys, text, session)
@@ -188,7 +188,7 @@
         if session.write {
             !self.keys.is_empty() || self.replicated.get()
         } else {
-            session.requirement.is_some() && !plant("uncovered")
+            session.requirement.is_some() && !failpoint_active("uncovered")
         }
     }
 
--- a/crates/failpoint/src/lib.rs
+++ b/crates/failpoint/src/lib.rs
@@ -12,19 +12,19 @@
     }
 
     /// From here on this thread's code has that fault, or none.
-    pub fn set_plant(name: Option<&'static str>) {
+    pub fn set_failpoint(name: Option<&'static str>) {
         PLANTED.with(|planted| planted.set(name));
     }
 
-    pub fn plant(name: &str) -> bool {
+    pub fn failpoint_active(name: &str) -> bool {
         PLANTED.with(|planted| planted.get() == Some(name))
     }
 }
 
 #[cfg(feature = "plants")]
-pub use planted::{plant, set_plant};
+pub use planted::{failpoint_active, set_failpoint};
 
 #[cfg(not(feature = "plants"))]
-pub const fn plant(_: &str) -> bool {
+pub const fn failpoint_active(_: &str) -> bool {
     false
 }
--- a/crates/gateway/src/client/query.rs
+++ b/crates/gateway/src/client/query.rs
@@ -7,7 +7,7 @@
 use leverpoint_engine::client_connections::BufferReservation;
 use leverpoint_engine::engine::{FinalAnswer, PendingRequest, Rejection};
 use leverpoint_engine::metrics::increment;
-use leverpoint_runtime::{Instant, plant, sleep_until, timeout};
+use leverpoint_runtime::{Instant, failpoint_active, sleep_until, timeout};
 
 use crate::client::Client;
 use crate::client::response::Delivery;
@@ -50,7 +50,10 @@
         if !self.admission.has_capacity {
             return self.reject_without_capacity().await;
         }
-        assert!(!(plant("panic") && text.contains("c=history")), "planted");
+        assert!(
+            !(failpoint_active("panic") && text.contains("c=history")),
+            "planted"
+        );
         let ticket = match self
             .exchange
             .on_request(&request, text, received, &self.peer)
@@ -138,7 +141,7 @@
                 biased;
                 outcome = ticket => Some(outcome),
                 () = cancelled => None,
-                () = sleep_until(until), if !plant("wait-without-end") => Some(FinalAnswer::Failed),
+                () = sleep_until(until), if !failpoint_active("wait-without-end") => Some(FinalAnswer::Failed),
             }
         };
         self.read_ahead_until(pin!(outcome)).await
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -8,7 +8,7 @@
 use leverpoint_engine::client_connections::BufferReservation;
 use leverpoint_engine::metrics::increment;
 use leverpoint_routing::api::Ticks;
-use leverpoint_runtime::{Instant, now, plant, poll_once, sleep, timeout};
+use leverpoint_runtime::{Instant, failpoint_active, now, poll_once, sleep, timeout};
 
 use crate::client::{Client, MESSAGE_TIMEOUT};
 use crate::postgres::messages;
@@ -96,7 +96,7 @@
             return self.write(&out).await;
         };
         self.deliver(&out, delivery).await?;
-        if plant("answer-twice") {
+        if failpoint_active("answer-twice") {
             self.write(&out).await?;
         }
         Ok(())
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_engine::engine::EndpointEntry;
 use leverpoint_routing::api::EndpointState;
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 use serde::Deserialize;
 use serde::de::{Deserializer, SeqAccess, Visitor};
 use serde_json::Value;
@@ -81,7 +81,7 @@
         set: number("pod_group").unwrap_or(0.0) as u16,
         state: match text("state") {
             Some("up") => EndpointState::Ready,
-            Some("draining") if !plant("drain-overlooked") => EndpointState::Draining,
+            Some("draining") if !failpoint_active("drain-overlooked") => EndpointState::Draining,
             Some("draining") => EndpointState::Ready,
             _ => EndpointState::Gone,
         },
--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -11,7 +11,7 @@
 use leverpoint_engine::client_connections::{BufferKind, BufferReservation, ClientConnections};
 use leverpoint_engine::engine::{Attempt, ReportedParameters, Row};
 use leverpoint_routing::api::{AttemptOutcome, Ticks};
-use leverpoint_runtime::{Instant, now, plant, timeout_at};
+use leverpoint_runtime::{Instant, failpoint_active, now, timeout_at};
 
 use crate::io::connection::BufferedConnection;
 use crate::postgres::messages::{self, Read};
@@ -134,7 +134,7 @@
             (b'D', None)
                 if !self.has_row
                     && !self.row.messages.is_empty()
-                    && (messages::holds_one(&body) || plant("unchecked")) =>
+                    && (messages::holds_one(&body) || failpoint_active("unchecked")) =>
             {
                 self.has_row = true;
                 messages::put(&mut self.row.messages, tag, &[&body]);
@@ -235,7 +235,7 @@
         said: ReportedParameters,
     ) -> Answer {
         // What stands behind it already belongs to no statement.
-        let reusable = self.socket.input.is_empty() || plant("leftovers-kept");
+        let reusable = self.socket.input.is_empty() || failpoint_active("leftovers-kept");
         let outcome = if outcome == AttemptOutcome::Answered {
             order.on_report_complete(said)
         } else {
--- a/crates/gateway/src/server/pool.rs
+++ b/crates/gateway/src/server/pool.rs
@@ -19,7 +19,7 @@
 use leverpoint_engine::engine::{Attempt, AttemptExecutor};
 use leverpoint_engine::metrics::{Metrics, increment};
 use leverpoint_routing::api::{AttemptOutcome, Ticks};
-use leverpoint_runtime::{now, plant, since, sleep, sleep_until, spawn, timeout_at};
+use leverpoint_runtime::{failpoint_active, now, since, sleep, sleep_until, spawn, timeout_at};
 
 use crate::server::answer::Answer;
 use crate::server::connection::ServerConnection;
@@ -72,7 +72,7 @@
         let result = tokio::select! {
             biased;
             result = self.attempt(&order) => result,
-            () = sleep_until(order.deadline), if !plant("dispatch-without-end") => {
+            () = sleep_until(order.deadline), if !failpoint_active("dispatch-without-end") => {
                 Err(order.error(Cause::TimedOut))
             }
             () = order.cancelled.notified() => Err(order.error(Cause::Cancelled)),
@@ -81,7 +81,7 @@
             Err(AttemptError {
                 progress: Progress::Written,
                 cause: Cause::ConnectionBroken,
-            }) if plant("sent-again") => self.attempt(&order).await,
+            }) if failpoint_active("sent-again") => self.attempt(&order).await,
             result => result,
         };
         if result.is_err() {
--- a/crates/membership/src/layout.rs
+++ b/crates/membership/src/layout.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 use serde::{Deserialize, Serialize};
 
 use crate::member_info::MemberInfo;
@@ -87,14 +87,14 @@
 
     /// Whether the member of this name, with this storage, is a holder.
     pub fn has_holder(&self, name: &str, storage_id: u64) -> bool {
-        let any = |h: &ReplicaHolder| h.storage_id == 0 || plant("empty-memory-votes");
+        let any = |h: &ReplicaHolder| h.storage_id == 0 || failpoint_active("empty-memory-votes");
         self.holder(name)
             .is_some_and(|h| h.storage_id == storage_id || any(h))
     }
 
     /// Size of a quorum: more than half, or all of version 0, whose storage is not known yet.
     pub fn quorum(&self) -> usize {
-        if self.version > 0 && plant("quorum-halved") {
+        if self.version > 0 && failpoint_active("quorum-halved") {
             return (self.holders.len() / 2).max(1);
         }
         if self.version == 0 {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -13,7 +13,7 @@
 mod voting;
 
 use fastrand::Rng;
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use crate::Ticks;
 use crate::action::{
@@ -178,7 +178,7 @@
             self.schedule.next_round = now + self.config.probe_interval;
             return self.take_actions();
         }
-        if elapsed > self.config.pause_threshold() && !plant("stood-still-unseen") {
+        if elapsed > self.config.pause_threshold() && !failpoint_active("stood-still-unseen") {
             self.on_pause(now, elapsed);
         }
         self.probe_indirectly(now);
--- a/crates/membership/src/member/identity.rs
+++ b/crates/membership/src/member/identity.rs
@@ -1,6 +1,6 @@
 //! A member's own identity: its admission, its refutations, and conflicts over its name.
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use super::Member;
 use crate::action::{MembershipEvent, MembershipStatus};
@@ -94,7 +94,7 @@
         if is_running && joining && other.storage_id != own.storage_id {
             // Whichever incarnation is newer, the running process has the name until it is gone.
             self.report_name_conflict(update);
-        } else if other > own && is_running && !plant("ended-goes-on") {
+        } else if other > own && is_running && !failpoint_active("ended-goes-on") {
             self.local.status = MembershipStatus::Superseded;
             self.voting.abort();
             self.report(MembershipEvent::Superseded { by: other });
@@ -112,7 +112,7 @@
         let own = &mut self.local.update;
         if update.status != MemberStatus::Alive
             && update.refutation_count >= own.refutation_count
-            && !plant("not-contradicted")
+            && !failpoint_active("not-contradicted")
         {
             own.refutation_count = update.refutation_count + 1;
             self.counters.refuted += 1;
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -1,6 +1,6 @@
 //! Failure detection: one direct probe a round, indirect probes through other members, and contact with seeds.
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use super::Member;
 use crate::Ticks;
@@ -119,7 +119,7 @@
             self.contact_seeds();
         }
         let is_turn = self.schedule.rounds.is_multiple_of(RECONNECT_EVERY_ROUNDS);
-        if !is_turn || plant("gone-for-good") {
+        if !is_turn || failpoint_active("gone-for-good") {
             return;
         }
         let mut candidates = self.dead_members();
--- a/crates/membership/src/member/table_sync.rs
+++ b/crates/membership/src/member/table_sync.rs
@@ -1,6 +1,6 @@
 //! Anti-entropy: two members whose layouts or membership tables differ exchange them.
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use super::Member;
 use crate::Ticks;
@@ -27,7 +27,7 @@
             self.send(member, Body::LayoutRequest);
         }
         let differs = envelope.table_digest != self.table.digest(&self.local.update);
-        if differs && self.may_sync_table(now) && !plant("views-apart") {
+        if differs && self.may_sync_table(now) && !failpoint_active("views-apart") {
             self.last_table_sync = now;
             self.send_table(member);
         }
--- a/crates/membership/src/membership_table.rs
+++ b/crates/membership/src/membership_table.rs
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use crate::Ticks;
 use crate::member_info::{Incarnation, MemberUpdate};
@@ -200,7 +200,7 @@
             return ApplyOutcome::Rejected;
         };
         let (known, updated) = (entry.update.info.incarnation, update.info.incarnation);
-        if updated < known && !plant("old-life-believed") {
+        if updated < known && !failpoint_active("old-life-believed") {
             return ApplyOutcome::EndedIncarnation(member);
         }
         if updated != known {
--- a/crates/replication/src/layout_history.rs
+++ b/crates/replication/src/layout_history.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 use leverpoint_membership::layout::{Layout, ReplicaHolder};
 
 use crate::Ticks;
@@ -184,7 +184,7 @@
     /// The replicas of a record in each layout in force, oldest first.
     #[must_use]
     pub fn replica_sets(&self, key: RecordKey) -> Vec<ReplicaSet> {
-        let in_force = if plant("old-layout-alone") {
+        let in_force = if failpoint_active("old-layout-alone") {
             &self.layouts[..1.min(self.layouts.len())]
         } else {
             &self.layouts[..]
@@ -274,7 +274,7 @@
         if self.incomplete {
             return SyncStatus::Syncing;
         }
-        if plant("empty-memory-counts") {
+        if failpoint_active("empty-memory-counts") {
             return SyncStatus::InSync;
         }
         let mut lost_until = 0;
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeSet;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Ticks;
@@ -243,7 +243,7 @@
 
     /// Whether a member other than `except` may be serving without a quorum, as far as is known here.
     pub(crate) fn is_partitioned(&self, now: Ticks, except: &str) -> bool {
-        if plant("alone-unseen") {
+        if failpoint_active("alone-unseen") {
             return false;
         }
         self.layout_history.newest().is_none()
@@ -310,7 +310,7 @@
         self.counters.records_written += records.len() as u64;
         let mut merged = Vec::new();
         for record in records {
-            if plant("merge-goes-back") {
+            if failpoint_active("merge-goes-back") {
                 self.store.forget(record.key);
             }
             self.store.merge(record);
--- a/crates/replication/src/read_quorum.rs
+++ b/crates/replication/src/read_quorum.rs
@@ -141,7 +141,7 @@
     fn counted_reply(&self, replica: &ReplicaId) -> Option<&ReplicaReply> {
         let member = self.replies.get(&replica.name)?;
         let same_memory = member.memory == replica.storage_id
-            || leverpoint_failpoint::plant("empty-memory-counts");
+            || leverpoint_failpoint::failpoint_active("empty-memory-counts");
         let reply = member.reply.as_ref().filter(|_| same_memory);
         reply.filter(|reply| !reply.partitioned)
     }
--- a/crates/replication/src/record_store.rs
+++ b/crates/replication/src/record_store.rs
@@ -178,7 +178,7 @@
     /// Drops the expired records of the next `buckets` buckets.
     pub fn expire(&mut self, now: Ticks, buckets: usize) {
         let limits = self.limits;
-        let key_retention = if leverpoint_failpoint::plant("key-forgotten-early") {
+        let key_retention = if leverpoint_failpoint::failpoint_active("key-forgotten-early") {
             limits.key_retention / 8
         } else {
             limits.key_retention
--- a/crates/replication/src/write_coordinator.rs
+++ b/crates/replication/src/write_coordinator.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use crate::Ticks;
 use crate::action::{Action, Completion};
@@ -102,7 +102,7 @@
 
     fn send_first(&mut self, ctx: &mut Context<'_>, id: OperationId, records: &[Record]) {
         let layouts_known = ctx.state.layout_history.is_known();
-        let early = plant("promise-before-quorum");
+        let early = failpoint_active("promise-before-quorum");
         for record in records {
             let recipients = self.recipients(id, record.key);
             self.send(ctx, id, record, &recipients);
@@ -306,7 +306,7 @@
         match effect {
             WriteQuorumEffect::Nothing | WriteQuorumEffect::SendToAll => {}
             WriteQuorumEffect::Acknowledge => {
-                let early = plant("promise-before-quorum");
+                let early = failpoint_active("promise-before-quorum");
                 let write = self.pending.get(&id);
                 if write.is_some_and(|write| early || write.is_acknowledged()) {
                     self.clear_by_quorum(ctx, id);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -16,9 +16,9 @@
 use std::task::Waker;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-pub use leverpoint_failpoint::plant;
+pub use leverpoint_failpoint::failpoint_active;
 #[cfg(feature = "plants")]
-pub use leverpoint_failpoint::set_plant;
+pub use leverpoint_failpoint::set_failpoint;
 pub use stream::{Accept, Listener, Pipe, Stream, WeakStream};
 pub use time::{Elapsed, Sleep, poll_once, sleep, sleep_until, timeout, timeout_at, yield_now};
 pub use tokio::time::Instant;
--- a/crates/simulator/src/plants.rs
+++ b/crates/simulator/src/plants.rs
@@ -2,7 +2,7 @@
 //!
 //! It must never play a seed with more than one of them.
 
-use leverpoint_runtime::{Instant, set_plant};
+use leverpoint_runtime::{Instant, set_failpoint};
 
 use crate::checker::Broken;
 use crate::scene::scene;
@@ -44,12 +44,12 @@
 /// How many seeds from 0 on it takes, and what they find.
 pub fn find(plant: &'static str, name: &str, most: u64, base: Instant) -> Option<(u64, Broken)> {
     let scene = scene(name).expect("a scenario of our own");
-    set_plant(Some(plant));
+    set_failpoint(Some(plant));
     let found = (0..most).find_map(|seed| {
         let broken = scene.play(seed, base, false).broken?;
         Some((seed + 1, broken))
     });
-    set_plant(None);
+    set_failpoint(None);
     found
 }
 
