--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -232,7 +232,7 @@
 impl ClientConnection {
     /// Whether the connection is known to have ended, though not all that came before may have been read.
     pub fn is_disconnected(&self) -> bool {
-        self.stream.ended()
+        self.stream.peer_closed()
     }
 
     /// Returns the limits in force.
@@ -339,7 +339,7 @@
     /// Number of bytes not yet written, or in the kernel and not acknowledged.
     pub fn unacknowledged_bytes(&self) -> usize {
         let unsent = self.bytes_queued.get() - self.bytes_written.get();
-        unsent + self.stream.unacknowledged()
+        unsent + self.stream.unacknowledged_bytes()
     }
 
     /// Takes note of received bytes of an incomplete message.
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_config::settings::ticks_to_duration;
 use leverpoint_routing::api::Ticks;
-use leverpoint_runtime::{Instant, now, since, unix};
+use leverpoint_runtime::{Instant, now, since, unix_time};
 
 const NANOS_PER_TICK: u128 = 100_000;
 
@@ -18,7 +18,7 @@
     pub(crate) fn new() -> Self {
         Clock {
             started: now(),
-            unix_at_start: unix(),
+            unix_at_start: unix_time(),
         }
     }
 
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_config::operator::SessionTracking;
 use leverpoint_routing::api::{AttemptOutcome, Consistency, ServerReport, Ticks};
-use leverpoint_runtime::{failpoint_active, unix};
+use leverpoint_runtime::{failpoint_active, unix_time};
 use leverpoint_sessions::{
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
@@ -133,9 +133,11 @@
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
-            self.book
-                .borrow_mut()
-                .on_clocks_read(now, (unix().as_micros() / 100) as Ticks, now);
+            self.book.borrow_mut().on_clocks_read(
+                now,
+                (unix_time().as_micros() / 100) as Ticks,
+                now,
+            );
         }
     }
 
--- a/crates/gateway/src/io/connection.rs
+++ b/crates/gateway/src/io/connection.rs
@@ -84,7 +84,7 @@
 
     /// The connection ends with what waits on it, at once, when it is dropped.
     pub(crate) fn discard(&self) {
-        self.stream.discard();
+        self.stream.reset_on_drop();
     }
 
     /// Lets the input take more of a message of `length`, and returns how long the buffer for that was waited for.
@@ -138,7 +138,7 @@
 
     /// The same, and what came a moment ago as well, of which nobody has been told yet.
     pub(crate) fn read_past(&mut self) -> io::Result<usize> {
-        self.read_by(Stream::read_past)
+        self.read_by(Stream::read_bypassing_readiness)
     }
 
     fn read_by(
@@ -200,7 +200,7 @@
                 self.receive_times
                     .iter_mut()
                     .for_each(ReceiveTimes::on_full);
-                self.stream.wait_for_end().await;
+                self.stream.wait_for_peer_close().await;
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             self.readable().await?;
@@ -293,15 +293,15 @@
     /// Tells the other side that nothing more comes, and waits for its end; what it says from here on is left unread,
     /// so that it can tell that nobody has taken it.
     pub(crate) async fn finish_unread(&mut self) -> io::Result<()> {
-        self.stream.finish()?;
-        self.stream.wait_for_end().await;
+        self.stream.shutdown_write()?;
+        self.stream.wait_for_peer_close().await;
         Ok(())
     }
 
     /// Tells the other side that nothing more comes, and waits for its end, passing over what it still says,
     /// up to so much.
     pub(crate) async fn finish(&mut self, most: usize) -> io::Result<()> {
-        self.stream.finish()?;
+        self.stream.shutdown_write()?;
         let mut passed = 0;
         while passed < most {
             passed += self.input.skip(self.input.len());
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -16,7 +16,7 @@
 use leverpoint_membership::{Incarnation, MemberInfo, MemberStatus, PersistedState};
 use leverpoint_peer_transport::membership_runtime::{decode_state, encode_state};
 use leverpoint_peer_transport::{FleetConfig, MemberStartup, StateStore};
-use leverpoint_runtime::{Listener, spawn, unguessable, unix};
+use leverpoint_runtime::{Listener, secure_random_u64, spawn, unix_time};
 use leverpoint_storage::{Directory, snapshot};
 use tokio::sync::oneshot;
 
@@ -65,7 +65,7 @@
 /// A source of unguessable numbers, from the operating system.
 pub fn random_numbers() -> Box<dyn FnMut() -> u64> {
     // Where the system has none the clock stands in: two connections of one nanosecond would share a number.
-    Box::new(|| unguessable().unwrap_or_else(|| unix().as_nanos() as u64))
+    Box::new(|| secure_random_u64().unwrap_or_else(|| unix_time().as_nanos() as u64))
 }
 
 /// Reads the state that an earlier incarnation has persisted.
@@ -166,7 +166,7 @@
     random_numbers: &mut dyn FnMut() -> u64,
     log: &slog::Logger,
 ) -> StartState {
-    let life = unix().as_millis() as u64;
+    let life = unix_time().as_millis() as u64;
     let mut state = StartState {
         kept: PersistedState {
             incarnation: new_incarnation(life, random_numbers),
--- a/crates/gateway/src/postgres/cancel_keys.rs
+++ b/crates/gateway/src/postgres/cancel_keys.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverpoint_runtime::{Instant, now, unguessable};
+use leverpoint_runtime::{Instant, now, secure_random_u64};
 use tokio::sync::Notify;
 
 /// A request accepted this long after the connection of a cancel had come up was sent after the cancel.
@@ -59,9 +59,9 @@
             notify: Notify::new(),
         });
         let mut connections = self.connections.borrow_mut();
-        let mut number = unguessable()?;
+        let mut number = secure_random_u64()?;
         while connections.contains_key(&number) {
-            number = unguessable()?;
+            number = secure_random_u64()?;
         }
         connections.insert(number, slot.clone());
         Some(CancelKey {
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use leverpoint_runtime::{now, sleep, spawn, unix};
+use leverpoint_runtime::{now, sleep, spawn, unix_time};
 
 use crate::gateway::Gateway;
 
@@ -48,7 +48,7 @@
         }
         if let Some(kept) = &self.kept {
             // All that was answered has been handed over by now.
-            kept.close(unix().as_micros() as i64 / 100);
+            kept.close(unix_time().as_micros() as i64 / 100);
         }
         slog::info!(self.log, "ended"; "open" => self.exchange.open_requests());
     }
--- a/crates/peer-transport/src/replication_runtime.rs
+++ b/crates/peer-transport/src/replication_runtime.rs
@@ -16,7 +16,7 @@
     PersistedMetadata, Record, RecordKey, RecoveredState, ReplicationConfig, ReplicationEvent,
     ReplicationStatus, Replicator, Ticks, WriteOutcome,
 };
-use leverpoint_runtime::{Instant, now, since, sleep_until, spawn, unix};
+use leverpoint_runtime::{Instant, now, since, sleep_until, spawn, unix_time};
 use tokio::sync::Notify;
 
 use crate::frame::Message;
@@ -89,7 +89,7 @@
                 storage_id: info.incarnation.storage_id,
             }
         });
-        let started_unix = unix();
+        let started_unix = unix_time();
         let replicator = Replicator::new(to_ticks(started_unix), me, terms, persisted);
         let runtime = Rc::new(ReplicationRuntime {
             replicator: RefCell::new(replicator),
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -15,49 +15,49 @@
 use tokio::io::Interest;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use crate::{sleep, world};
+use crate::{simulated_runtime, sleep};
 
 /// How often a connection with something unread is looked at for its end: several times in the tenth of a
 /// second after which nothing may go out for a client that has gone.
 const LOOK: Duration = Duration::from_millis(20);
 
 /// One end of a connection in a world.
-pub trait Pipe {
+pub trait SimulatedConnection {
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()>;
     fn try_read(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize>;
     /// Whether the other side has ended or reset it, whatever of it is still unread.
-    fn ended(&self) -> bool;
+    fn peer_closed(&self) -> bool;
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<()>;
     fn try_write(&self, from: &[IoSlice<'_>]) -> io::Result<usize>;
     /// Nothing more is written; the other side reads the end behind what stands.
-    fn finish(&self);
+    fn shutdown_write(&self);
     /// What stands on its way is lost, and the other side is reset, when this end is dropped.
-    fn discard(&self);
+    fn reset_on_drop(&self);
     /// Bytes written that have not come to the other side.
-    fn unacknowledged(&self) -> usize;
+    fn unacknowledged_bytes(&self) -> usize;
 }
 
 #[derive(Clone)]
 pub enum Stream {
     Tcp(Rc<TcpStream>),
-    World(Rc<dyn Pipe>),
+    Simulated(Rc<dyn SimulatedConnection>),
 }
 
 /// To ask something of a connection for as long as it is there.
 #[derive(Clone)]
 pub enum WeakStream {
     Tcp(Weak<TcpStream>),
-    World(Weak<dyn Pipe>),
+    Simulated(Weak<dyn SimulatedConnection>),
     None,
 }
 
 impl Stream {
     /// Connects; `kernel` is what the kernel is asked to keep each way, where that is bounded.
     pub async fn connect(to: SocketAddr, kernel: Option<usize>) -> io::Result<Stream> {
-        if let Some(world) = world() {
-            let connecting = world.connect(to);
-            drop(world);
-            return Ok(Stream::World(connecting.await?));
+        if let Some(runtime) = simulated_runtime() {
+            let connecting = runtime.connect(to);
+            drop(runtime);
+            return Ok(Stream::Simulated(connecting.await?));
         }
         let socket = if to.is_ipv4() {
             TcpSocket::new_v4()?
@@ -69,10 +69,10 @@
             socket.set_recv_buffer_size(bytes as u32)?;
             socket.set_send_buffer_size(bytes as u32)?;
         }
-        Ok(Stream::tcp(socket.connect(to).await?))
+        Ok(Stream::from_tcp(socket.connect(to).await?))
     }
 
-    pub fn tcp(stream: TcpStream) -> Stream {
+    pub fn from_tcp(stream: TcpStream) -> Stream {
         // A command or an answer is written whole at once; waiting for more would only delay it.
         let _ = stream.set_nodelay(true);
         Stream::Tcp(Rc::new(stream))
@@ -81,7 +81,7 @@
     pub async fn readable(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.readable().await,
-            Stream::World(pipe) => {
+            Stream::Simulated(pipe) => {
                 poll_fn(|cx| pipe.poll_readable(cx)).await;
                 Ok(())
             }
@@ -91,29 +91,29 @@
     pub fn try_read(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.try_read_vectored(to),
-            Stream::World(pipe) => pipe.try_read(to),
+            Stream::Simulated(pipe) => pipe.try_read(to),
         }
     }
 
     /// Reads what has come by now, also where nobody has been told of it yet.
-    pub fn read_past(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize> {
+    pub fn read_bypassing_readiness(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => (&*SockRef::from(&**stream)).read_vectored(to),
-            Stream::World(pipe) => pipe.try_read(to),
+            Stream::Simulated(pipe) => pipe.try_read(to),
         }
     }
 
     /// Whether the other side has ended or reset it as far as is known here, whatever of it is still unread.
-    pub fn ended(&self) -> bool {
+    pub fn peer_closed(&self) -> bool {
         match self {
-            Stream::Tcp(stream) => ended(stream),
-            Stream::World(pipe) => pipe.ended(),
+            Stream::Tcp(stream) => peer_closed(stream),
+            Stream::Simulated(pipe) => pipe.peer_closed(),
         }
     }
 
     /// Waits until the other side has ended or reset it, and leaves unread what it has said.
-    pub async fn wait_for_end(&self) {
-        while !self.ended() {
+    pub async fn wait_for_peer_close(&self) {
+        while !self.peer_closed() {
             sleep(LOOK).await;
         }
     }
@@ -121,7 +121,7 @@
     pub async fn writable(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.writable().await,
-            Stream::World(pipe) => {
+            Stream::Simulated(pipe) => {
                 poll_fn(|cx| pipe.poll_writable(cx)).await;
                 Ok(())
             }
@@ -131,59 +131,61 @@
     pub fn try_write(&self, from: &[IoSlice<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.try_write_vectored(from),
-            Stream::World(pipe) => pipe.try_write(from),
+            Stream::Simulated(pipe) => pipe.try_write(from),
         }
     }
 
     /// Tells the other side that nothing more comes.
-    pub fn finish(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => SockRef::from(&**stream).shutdown(Shutdown::Write),
-            Stream::World(pipe) => {
-                pipe.finish();
+            Stream::Simulated(pipe) => {
+                pipe.shutdown_write();
                 Ok(())
             }
         }
     }
 
     /// It ends with what waits on it, at once, when it is dropped.
-    pub fn discard(&self) {
+    pub fn reset_on_drop(&self) {
         match self {
             Stream::Tcp(stream) => drop(SockRef::from(&**stream).set_linger(Some(Duration::ZERO))),
-            Stream::World(pipe) => pipe.discard(),
+            Stream::Simulated(pipe) => pipe.reset_on_drop(),
         }
     }
 
     pub fn downgrade(&self) -> WeakStream {
         match self {
             Stream::Tcp(stream) => WeakStream::Tcp(Rc::downgrade(stream)),
-            Stream::World(pipe) => WeakStream::World(Rc::downgrade(pipe)),
+            Stream::Simulated(pipe) => WeakStream::Simulated(Rc::downgrade(pipe)),
         }
     }
 }
 
 impl WeakStream {
     /// Whether the other side has ended or reset it as far as is known here, or it is no more.
-    pub fn ended(&self) -> bool {
+    pub fn peer_closed(&self) -> bool {
         match self {
-            WeakStream::Tcp(stream) => stream.upgrade().is_none_or(|stream| ended(&stream)),
-            WeakStream::World(pipe) => pipe.upgrade().is_none_or(|pipe| pipe.ended()),
+            WeakStream::Tcp(stream) => stream.upgrade().is_none_or(|stream| peer_closed(&stream)),
+            WeakStream::Simulated(pipe) => pipe.upgrade().is_none_or(|pipe| pipe.peer_closed()),
             WeakStream::None => false,
         }
     }
 
     /// Bytes written that the other side has not acknowledged; 0 where that can't be told.
-    pub fn unacknowledged(&self) -> usize {
+    pub fn unacknowledged_bytes(&self) -> usize {
         match self {
             WeakStream::Tcp(stream) => stream.upgrade().map_or(0, |stream| outstanding(&stream)),
-            WeakStream::World(pipe) => pipe.upgrade().map_or(0, |pipe| pipe.unacknowledged()),
+            WeakStream::Simulated(pipe) => {
+                pipe.upgrade().map_or(0, |pipe| pipe.unacknowledged_bytes())
+            }
             WeakStream::None => 0,
         }
     }
 }
 
 /// What the runtime was last told of it: no call to the system.
-fn ended(stream: &TcpStream) -> bool {
+fn peer_closed(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(Ok(ready)) => ready.is_read_closed(),
@@ -203,21 +205,21 @@
 pub enum Listener {
     Tcp(TcpListener),
     /// Gives each connection that has come, in their order.
-    World(Rc<dyn Accept>),
+    Simulated(Rc<dyn SimulatedListener>),
 }
 
 /// A listener in a world.
-pub trait Accept {
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<Rc<dyn Pipe>>;
+pub trait SimulatedListener {
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<Rc<dyn SimulatedConnection>>;
 }
 
 impl Listener {
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
-            Listener::Tcp(listener) => Ok(Stream::tcp(listener.accept().await?.0)),
-            Listener::World(listener) => {
-                Ok(Stream::World(poll_fn(|cx| listener.poll_accept(cx)).await))
-            }
+            Listener::Tcp(listener) => Ok(Stream::from_tcp(listener.accept().await?.0)),
+            Listener::Simulated(listener) => Ok(Stream::Simulated(
+                poll_fn(|cx| listener.poll_accept(cx)).await,
+            )),
         }
     }
 }
--- a/crates/runtime/src/time.rs
+++ b/crates/runtime/src/time.rs
@@ -11,7 +11,7 @@
 use pin_project_lite::pin_project;
 use tokio::time::Instant;
 
-use crate::{World, now, world};
+use crate::{SimulatedRuntime, now, simulated_runtime};
 
 /// A wait has come to its end before what was waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,13 +22,13 @@
     #[project = SleepProj]
     pub enum Sleep {
         Tokio { #[pin] sleep: tokio::time::Sleep },
-        World { timer: Timer },
+        Simulated { timer: Timer },
     }
 }
 
 /// A timer of a world; it ends with its drop.
 pub struct Timer {
-    world: Rc<dyn World>,
+    runtime: Rc<dyn SimulatedRuntime>,
     at: Instant,
     timer: Option<u64>,
 }
@@ -36,7 +36,7 @@
 impl Drop for Timer {
     fn drop(&mut self) {
         if let Some(timer) = self.timer.take() {
-            self.world.drop_timer(timer);
+            self.runtime.cancel_timer(timer);
         }
     }
 }
@@ -47,15 +47,15 @@
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         match self.project() {
             SleepProj::Tokio { sleep } => sleep.poll(cx),
-            SleepProj::World { timer } => {
-                if timer.world.now() >= timer.at {
+            SleepProj::Simulated { timer } => {
+                if timer.runtime.now() >= timer.at {
                     return Poll::Ready(());
                 }
                 // The waker may be another one than at the last poll.
                 if let Some(old) = timer.timer.take() {
-                    timer.world.drop_timer(old);
+                    timer.runtime.cancel_timer(old);
                 }
-                timer.timer = Some(timer.world.timer(timer.at, cx.waker()));
+                timer.timer = Some(timer.runtime.start_timer(timer.at, cx.waker()));
                 Poll::Pending
             }
         }
@@ -63,13 +63,13 @@
 }
 
 pub fn sleep_until(at: Instant) -> Sleep {
-    match world() {
+    match simulated_runtime() {
         None => Sleep::Tokio {
             sleep: tokio::time::sleep_until(at),
         },
-        Some(world) => Sleep::World {
+        Some(runtime) => Sleep::Simulated {
             timer: Timer {
-                world,
+                runtime,
                 at,
                 timer: None,
             },
--- a/crates/simulator/src/agents.rs
+++ b/crates/simulator/src/agents.rs
@@ -20,7 +20,7 @@
             self.agent_process(n),
             address(if second { 3 } else { 2 }, n),
         );
-        let listener = Listener::World(door);
+        let listener = Listener::Simulated(door);
         while let Ok(stream) = listener.accept().await {
             let play = self.clone();
             let serves = move || play.place.agent_moved.borrow()[n] == second;
--- a/crates/simulator/src/course.rs
+++ b/crates/simulator/src/course.rs
@@ -233,7 +233,7 @@
             } else {
                 OperatorConfig::default()
             };
-            let gateway = Gateway::start(node, operator, Listener::World(door), None, log);
+            let gateway = Gateway::start(node, operator, Listener::Simulated(door), None, log);
             play.gateways.borrow_mut()[n] = gateway.ok().map(Rc::new);
             play.sim.record(EventSource::Gateway, (n, life), || {
                 format!("{n} life {life} serves")
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -19,7 +19,7 @@
 use leverpoint_peer_transport::{
     AdminRequest, AdminResponse, FleetConfig, MemberRuntime, MemberStartup, StateStore,
 };
-use leverpoint_runtime::{Instant, Listener, set_world, sleep, spawn, unix};
+use leverpoint_runtime::{Instant, Listener, set_simulated_runtime, sleep, spawn, unix_time};
 use leverpoint_signing::{Key, Keys};
 use serde::Deserialize;
 
@@ -339,7 +339,7 @@
                 .and_then(decode_state)
                 .filter(|_| lasts)
                 .unwrap_or_default();
-            let life = unix().as_millis() as u64;
+            let life = unix_time().as_millis() as u64;
             let fresh = before.incarnation.storage_id == 0;
             let memory = if fresh {
                 sim.chance.borrow_mut().u64(1..)
@@ -391,7 +391,7 @@
                     });
                 }),
             };
-            let started = MemberRuntime::start(start, Listener::World(door));
+            let started = MemberRuntime::start(start, Listener::Simulated(door));
             if bootstraps {
                 started.handle_admin_request(&AdminRequest::Bootstrap);
             }
@@ -754,7 +754,7 @@
     traced: bool,
 ) -> Played {
     let sim = Sim::new(seed, base, LATENCY, traced);
-    set_world(Some(sim.clone()));
+    set_simulated_runtime(Some(sim.clone()));
     let members = script.members;
     let place = |p: usize| Place {
         name: format!("n{}", p % members),
@@ -843,6 +843,6 @@
         .filter(|p| sim.alive(*p))
         .for_each(|p| sim.kill(p));
     drop(run);
-    set_world(None);
+    set_simulated_runtime(None);
     played
 }
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -19,7 +19,7 @@
 impl Play {
     pub(crate) async fn machine(self: Rc<Self>, n: usize) {
         let door = self.sim.listen(self.machine_process(n), address(1, n));
-        let listener = Listener::World(door);
+        let listener = Listener::Simulated(door);
         while let Ok(stream) = listener.accept().await {
             let play = self.clone();
             leverpoint_runtime::spawn(async move {
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -7,7 +7,7 @@
 
 use leverpoint_cluster_model::list::Phase;
 use leverpoint_cluster_model::set::{Health, Set};
-use leverpoint_runtime::{Instant, set_world, sleep};
+use leverpoint_runtime::{Instant, set_simulated_runtime, sleep};
 use tokio::sync::Notify;
 
 use crate::checker::Checker;
@@ -160,7 +160,7 @@
     traced: bool,
 ) -> Played {
     let sim = Sim::new(seed, base, LATENCY, traced);
-    set_world(Some(sim.clone()));
+    set_simulated_runtime(Some(sim.clone()));
     let machines = scenario.sets * scenario.machines_a_set;
     let sets = (0..scenario.sets)
         .map(|_| Set::new(BUILD, scenario.machines_a_set))
@@ -252,7 +252,7 @@
         .filter(|p| sim.alive(*p))
         .for_each(|p| sim.kill(p));
     play.gateways.borrow_mut().clear();
-    set_world(None);
+    set_simulated_runtime(None);
     played
 }
 
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -18,7 +18,9 @@
 
 use fastrand::Rng;
 use leverpoint_cluster_model::Ticks;
-use leverpoint_runtime::{Accept, Connecting, Instant, Pipe, Task, World};
+use leverpoint_runtime::{
+    ConnectFuture, Instant, SimulatedConnection, SimulatedListener, SimulatedRuntime, Task,
+};
 use xxhash_rust::xxh3::Xxh3;
 
 /// Time of day when the world begins: a whole second, so that it falls on the grid that all times here are on.
@@ -652,12 +654,12 @@
     }
 }
 
-impl World for Sim {
+impl SimulatedRuntime for Sim {
     fn now(&self) -> Instant {
         self.instant(self.time())
     }
 
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         let off = self
             .lives
             .borrow()
@@ -666,7 +668,7 @@
         UNIX + Duration::from_micros((self.time() + off).max(0) as u64 * 100)
     }
 
-    fn timer(&self, at: Instant, waker: &Waker) -> u64 {
+    fn start_timer(&self, at: Instant, waker: &Waker) -> u64 {
         let timer = self.next.replace(self.next.get() + 1);
         let key = self.put(
             self.tenths(at),
@@ -676,7 +678,7 @@
         timer
     }
 
-    fn drop_timer(&self, timer: u64) {
+    fn cancel_timer(&self, timer: u64) {
         if let Some(key) = self.timers.borrow_mut().remove(&timer) {
             self.due.borrow_mut().remove(&key);
         }
@@ -686,13 +688,13 @@
         self.spawn_in(self.current.get(), task);
     }
 
-    fn unguessable(&self) -> u64 {
+    fn secure_random_u64(&self) -> u64 {
         // Apart from the chance that decides all else, so that a seed plays as it did.
         let nth = self.numbers.replace(self.numbers.get() + 1);
         Rng::with_seed(nth).u64(..)
     }
 
-    fn connect(&self, to: SocketAddr) -> Connecting {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let knock = Rc::new(RefCell::new(Knock {
             from: self.current.get(),
             to,
@@ -704,7 +706,7 @@
         Box::pin(std::future::poll_fn(move |cx| {
             let mut knock = knock.borrow_mut();
             match knock.outcome.take() {
-                Some(outcome) => Poll::Ready(outcome.map(|end| end as Rc<dyn Pipe>)),
+                Some(outcome) => Poll::Ready(outcome.map(|end| end as Rc<dyn SimulatedConnection>)),
                 None => {
                     knock.waker = Some(cx.waker().clone());
                     Poll::Pending
@@ -728,8 +730,8 @@
     waker: RefCell<Option<Waker>>,
 }
 
-impl Accept for Door {
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<Rc<dyn Pipe>> {
+impl SimulatedListener for Door {
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<Rc<dyn SimulatedConnection>> {
         match self.queue.borrow_mut().pop_front() {
             Some(end) => Poll::Ready(end),
             None => {
@@ -822,7 +824,7 @@
     }
 }
 
-impl Pipe for End {
+impl SimulatedConnection for End {
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut inner = self.inner.borrow_mut();
         if !inner.unread.is_empty() || inner.ended || inner.broken {
@@ -863,7 +865,7 @@
         Ok(read)
     }
 
-    fn ended(&self) -> bool {
+    fn peer_closed(&self) -> bool {
         let inner = self.inner.borrow();
         inner.ended || inner.broken
     }
@@ -921,7 +923,7 @@
         Ok(wrote_once)
     }
 
-    fn finish(&self) {
+    fn shutdown_write(&self) {
         let Some(sim) = self.sim.upgrade() else {
             return;
         };
@@ -936,11 +938,11 @@
         }
     }
 
-    fn discard(&self) {
+    fn reset_on_drop(&self) {
         self.inner.borrow_mut().discarded = true;
     }
 
-    fn unacknowledged(&self) -> usize {
+    fn unacknowledged_bytes(&self) -> usize {
         self.inner.borrow().on_its_way
     }
 }
