--- a/crates/cluster-model/src/list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -13,65 +13,65 @@
 
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub machine: usize,
-    pub set: usize,
+    pub server: usize,
+    pub replica_set: usize,
     pub phase: Phase,
-    pub primary: bool,
+    pub is_primary: bool,
     /// Its last start; 0 when long ago.
-    pub started: Ticks,
+    pub started_at: Ticks,
     revision: u64,
 }
 
 /// What is published, and what waits to be.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     revision: u64,
     entries: Vec<Entry>,
     /// Changes by when they are published.
     due: Vec<(Ticks, Entry)>,
 }
 
-impl List {
+impl EndpointList {
     /// A change that becomes known so much later.
-    pub fn change(
+    pub fn schedule_change(
         &mut self,
         at: Ticks,
-        machine: usize,
-        set: usize,
+        server: usize,
+        replica_set: usize,
         phase: Phase,
-        primary: bool,
-        started: Ticks,
+        is_primary: bool,
+        started_at: Ticks,
     ) {
         self.due.push((
             at,
             Entry {
-                machine,
-                set,
+                server,
+                replica_set,
                 phase,
-                primary,
-                started,
+                is_primary,
+                started_at,
                 revision: 0,
             },
         ));
     }
 
     /// Publishes what is due; whether anything was.
-    pub fn publish(&mut self, now: Ticks) -> bool {
+    pub fn publish_due(&mut self, now: Ticks) -> bool {
         let (mut due, later): (Vec<_>, Vec<_>) = self.due.drain(..).partition(|(at, _)| *at <= now);
         self.due = later;
-        due.sort_by_key(|(at, entry)| (*at, entry.machine));
+        due.sort_by_key(|(at, entry)| (*at, entry.server));
         let any = !due.is_empty();
         for (_, mut entry) in due {
             self.revision += 1;
             entry.revision = self.revision;
-            self.entries.retain(|e| e.machine != entry.machine);
+            self.entries.retain(|e| e.server != entry.server);
             self.entries.push(entry);
         }
-        self.entries.sort_by_key(|e| e.machine);
+        self.entries.sort_by_key(|e| e.server);
         any
     }
 
-    pub fn next_due(&self) -> Option<Ticks> {
+    pub fn next_publication_at(&self) -> Option<Ticks> {
         self.due.iter().map(|(at, _)| *at).min()
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Entries changed since that revision; all but the removed ones where none is named.
-    pub fn since(&self, revision: Option<u64>) -> impl Iterator<Item = &Entry> {
+    pub fn changed_since(&self, revision: Option<u64>) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(move |e| match revision {
             Some(revision) => e.revision > revision,
             None => e.phase != Phase::Removed,
--- a/crates/cluster-model/src/set.rs
+++ b/crates/cluster-model/src/replica_set.rs
@@ -9,24 +9,24 @@
 
 /// What a set is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Build {
+pub struct ReplicaSetConfig {
     /// Commands that a machine works on at once, and that may wait for a slot.
     pub slots: usize,
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// How far a replica applies behind.
-    pub lag: Ticks,
+    pub replication_lag: Ticks,
     /// A keyed repeat is dropped for so long.
-    pub window: Ticks,
+    pub key_retention: Ticks,
     /// An election takes so long once the primary is silent or gone.
-    pub election: Ticks,
+    pub election_duration: Ticks,
     /// A machine just started has this part of its slots for so long.
-    pub cold_share: f64,
-    pub cold_time: Ticks,
+    pub cold_start_capacity: f64,
+    pub cold_start_duration: Ticks,
     /// Work beyond this multiple of its part for so long pushes it over.
-    pub fall_multiple: f64,
-    pub fall_time: Ticks,
+    pub overload_multiple: f64,
+    pub overload_window: Ticks,
     /// What a usual command's work takes.
-    pub usual_work: Ticks,
+    pub typical_work: Ticks,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,17 +39,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct Server {
     pub health: Health,
     pub draining: bool,
-    pub started: Ticks,
+    pub started_at: Ticks,
     busy: usize,
     queued: usize,
     /// Applies nothing newer while held up.
     held_at: Option<Ticks>,
     /// What came while it was cold, as far as it counts.
     recent: VecDeque<Ticks>,
-    pub fallen: bool,
+    pub crashed_by_overload: bool,
 }
 
 /// What a machine says to a statement.
@@ -64,16 +64,16 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    pub write: bool,
-    pub key: Option<&'a str>,
+pub struct Statement<'a> {
+    pub is_write: bool,
+    pub idempotency_key: Option<&'a str>,
     /// What the read must see; none where it owes nothing.
-    pub owed: Option<Ticks>,
+    pub required_position: Option<Ticks>,
 }
 
-pub struct Set {
-    build: Build,
-    pub machines: Vec<Machine>,
+pub struct ReplicaSet {
+    config: ReplicaSetConfig,
+    pub servers: Vec<Server>,
     primary: Option<usize>,
     /// When the primary was lost.
     lost_at: Option<Ticks>,
@@ -82,21 +82,21 @@
     keys: BTreeMap<String, Ticks>,
 }
 
-impl Set {
-    pub fn new(build: Build, machines: usize) -> Set {
-        let machine = Machine {
+impl ReplicaSet {
+    pub fn new(config: ReplicaSetConfig, servers: usize) -> ReplicaSet {
+        let server = Server {
             health: Health::Up,
             draining: false,
-            started: 0,
+            started_at: 0,
             busy: 0,
             queued: 0,
             held_at: None,
             recent: VecDeque::new(),
-            fallen: false,
+            crashed_by_overload: false,
         };
-        Set {
-            build,
-            machines: vec![machine; machines],
+        ReplicaSet {
+            config,
+            servers: vec![server; servers],
             primary: Some(0),
             lost_at: None,
             commits: Vec::new(),
@@ -108,60 +108,66 @@
         self.primary
     }
 
-    pub fn is_primary(&self, machine: usize) -> bool {
-        self.primary == Some(machine)
+    pub fn is_primary(&self, server: usize) -> bool {
+        self.primary == Some(server)
     }
 
     /// How far a machine has applied the log.
-    pub fn position(&self, now: Ticks, machine: usize) -> Ticks {
-        let m = &self.machines[machine];
-        if self.is_primary(machine) {
+    pub fn applied_position(&self, now: Ticks, server: usize) -> Ticks {
+        let m = &self.servers[server];
+        if self.is_primary(server) {
             return now;
         }
-        let at = (now - self.build.lag).min(m.held_at.unwrap_or(Ticks::MAX));
+        let at = (now - self.config.replication_lag).min(m.held_at.unwrap_or(Ticks::MAX));
         at.max(0)
     }
 
-    fn cold(&self, now: Ticks, machine: usize) -> bool {
-        let started = self.machines[machine].started;
-        started > 0 && now - started < self.build.cold_time
+    fn cold(&self, now: Ticks, server: usize) -> bool {
+        let started_at = self.servers[server].started_at;
+        started_at > 0 && now - started_at < self.config.cold_start_duration
     }
 
-    fn slots(&self, now: Ticks, machine: usize) -> usize {
-        ((self.build.slots as f64 * self.part(now, machine)) as usize).max(1)
+    fn slots(&self, now: Ticks, server: usize) -> usize {
+        ((self.config.slots as f64 * self.part(now, server)) as usize).max(1)
     }
 
     /// The part of its work that a machine can do: from the cold share at its start up to all of it.
-    fn part(&self, now: Ticks, machine: usize) -> f64 {
-        if !self.cold(now, machine) {
+    fn part(&self, now: Ticks, server: usize) -> f64 {
+        if !self.cold(now, server) {
             return 1.0;
         }
-        let age = (now - self.machines[machine].started) as f64;
-        self.build.cold_share + (1.0 - self.build.cold_share) * age / self.build.cold_time as f64
+        let age = (now - self.servers[server].started_at) as f64;
+        self.config.cold_start_capacity
+            + (1.0 - self.config.cold_start_capacity) * age / self.config.cold_start_duration as f64
     }
 
     /// A statement has come whole: whether it is worked on now (true), waits for a slot, or is turned away.
-    pub fn arrives(&mut self, now: Ticks, machine: usize) -> Result<bool, Reply> {
-        let slots = self.slots(now, machine);
-        let (cold, part) = (self.cold(now, machine), self.part(now, machine));
-        let build = self.build;
-        let m = &mut self.machines[machine];
+    pub fn admit(&mut self, now: Ticks, server: usize) -> Result<bool, Reply> {
+        let slots = self.slots(now, server);
+        let (cold, part) = (self.cold(now, server), self.part(now, server));
+        let config = self.config;
+        let m = &mut self.servers[server];
         if cold {
             m.recent.push_back(now);
             while m
                 .recent
                 .front()
-                .is_some_and(|at| now - *at > build.fall_time)
+                .is_some_and(|at| now - *at > config.overload_window)
             {
                 m.recent.pop_front();
             }
-            let work = (m.recent.len() as Ticks * build.usual_work) as f64;
-            if work > build.fall_multiple * part * build.slots as f64 * build.fall_time as f64 {
-                m.fallen = true;
+            let work = (m.recent.len() as Ticks * config.typical_work) as f64;
+            if work
+                > config.overload_multiple
+                    * part
+                    * config.slots as f64
+                    * config.overload_window as f64
+            {
+                m.crashed_by_overload = true;
                 m.health = Health::Down;
             }
         }
-        if m.draining || (m.busy >= slots && m.queued >= build.queue) {
+        if m.draining || (m.busy >= slots && m.queued >= config.queue_capacity) {
             return Err(Reply::Full);
         }
         if m.busy < slots {
@@ -173,9 +179,9 @@
     }
 
     /// One that waited gets a slot, if there is one.
-    pub fn turn(&mut self, now: Ticks, machine: usize) -> bool {
-        let slots = self.slots(now, machine);
-        let m = &mut self.machines[machine];
+    pub fn start_queued(&mut self, now: Ticks, server: usize) -> bool {
+        let slots = self.slots(now, server);
+        let m = &mut self.servers[server];
         if m.busy >= slots || m.queued == 0 {
             return false;
         }
@@ -184,32 +190,41 @@
     }
 
     /// A statement that has waited is not begun after all.
-    pub fn gives_up(&mut self, machine: usize) {
-        let m = &mut self.machines[machine];
+    pub fn abandon_queued(&mut self, server: usize) {
+        let m = &mut self.servers[server];
         m.queued = m.queued.saturating_sub(1);
     }
 
     /// Its work is done: what it comes to, and the position that it is answered with. An effect happens here.
-    pub fn works(&mut self, now: Ticks, machine: usize, ask: &Ask<'_>) -> (Reply, Ticks, bool) {
-        let m = &mut self.machines[machine];
+    pub fn complete(
+        &mut self,
+        now: Ticks,
+        server: usize,
+        statement: &Statement<'_>,
+    ) -> (Reply, Ticks, bool) {
+        let m = &mut self.servers[server];
         m.busy = m.busy.saturating_sub(1);
-        let position = self.position(now, machine);
-        if ask.write {
-            if !self.is_primary(machine) {
+        let position = self.applied_position(now, server);
+        if statement.is_write {
+            if !self.is_primary(server) {
                 return (Reply::NotPrimary, position, false);
             }
-            self.keys.retain(|_, at| now - *at < self.build.window);
-            if ask.key.is_some_and(|key| self.keys.contains_key(key)) {
+            self.keys
+                .retain(|_, at| now - *at < self.config.key_retention);
+            if statement
+                .idempotency_key
+                .is_some_and(|key| self.keys.contains_key(key))
+            {
                 return (Reply::Row, position, false);
             }
-            if let Some(key) = ask.key {
+            if let Some(key) = statement.idempotency_key {
                 self.keys.insert(key.to_owned(), now);
             }
             self.commits.push(now);
             return (Reply::Row, now, true);
         }
-        match ask.owed {
-            Some(owed) if position < owed && !self.is_primary(machine) => {
+        match statement.required_position {
+            Some(required_position) if position < required_position && !self.is_primary(server) => {
                 (Reply::Behind, position, false)
             }
             _ => (Reply::Row, position, false),
@@ -217,61 +232,61 @@
     }
 
     /// A replica applies nothing more, or all of it again.
-    pub fn hold_up(&mut self, now: Ticks, machine: usize, held: bool) {
-        let at = self.position(now, machine);
-        self.machines[machine].held_at = held.then_some(at);
+    pub fn pause_replay(&mut self, now: Ticks, server: usize, held: bool) {
+        let at = self.applied_position(now, server);
+        self.servers[server].held_at = held.then_some(at);
     }
 
-    pub fn set_health(&mut self, now: Ticks, machine: usize, health: Health) {
-        let was_down = self.machines[machine].health == Health::Down;
-        let m = &mut self.machines[machine];
+    pub fn set_health(&mut self, now: Ticks, server: usize, health: Health) {
+        let was_down = self.servers[server].health == Health::Down;
+        let m = &mut self.servers[server];
         m.health = health;
         if health == Health::Up && was_down {
-            (m.started, m.busy, m.queued, m.held_at) = (now, 0, 0, None);
+            (m.started_at, m.busy, m.queued, m.held_at) = (now, 0, 0, None);
             m.recent.clear();
         }
-        if health != Health::Up && self.primary == Some(machine) {
+        if health != Health::Up && self.primary == Some(server) {
             (self.primary, self.lost_at) = (None, Some(now));
         }
     }
 
     /// Its process starts again and forgets what it was working on; the machine stays what it is.
-    pub fn restart(&mut self, machine: usize) {
-        let m = &mut self.machines[machine];
+    pub fn restart(&mut self, server: usize) {
+        let m = &mut self.servers[server];
         (m.busy, m.queued) = (0, 0);
     }
 
-    pub fn drain(&mut self, machine: usize, draining: bool) {
-        self.machines[machine].draining = draining;
+    pub fn drain(&mut self, server: usize, draining: bool) {
+        self.servers[server].draining = draining;
     }
 
     /// An operator's hand: the primary gives its role to another machine that is up.
-    pub fn hand_over(&mut self, to: usize) {
-        if self.machines[to].health == Health::Up {
+    pub fn switch_primary(&mut self, to: usize) {
+        if self.servers[to].health == Health::Up {
             (self.primary, self.lost_at) = (Some(to), None);
-            self.machines[to].held_at = None;
+            self.servers[to].held_at = None;
         }
     }
 
     /// When the next election is over, if one goes on.
-    pub fn election_due(&self) -> Option<Ticks> {
-        self.lost_at.map(|at| at + self.build.election)
+    pub fn election_ends_at(&self) -> Option<Ticks> {
+        self.lost_at.map(|at| at + self.config.election_duration)
     }
 
     /// Ends an election that is due: the machine that has applied most becomes primary. Nothing that was
     /// answered is lost, as the log is shipped before a commit is answered.
     pub fn elect(&mut self, now: Ticks) -> Option<usize> {
-        if self.election_due().is_none_or(|due| due > now) {
+        if self.election_ends_at().is_none_or(|due| due > now) {
             return None;
         }
-        let up = |m: &usize| self.machines[*m].health == Health::Up && !self.machines[*m].draining;
-        let most = (0..self.machines.len())
+        let up = |m: &usize| self.servers[*m].health == Health::Up && !self.servers[*m].draining;
+        let most = (0..self.servers.len())
             .filter(up)
-            .max_by_key(|m| (self.position(now, *m), std::cmp::Reverse(*m)));
+            .max_by_key(|m| (self.applied_position(now, *m), std::cmp::Reverse(*m)));
         match most {
-            Some(machine) => {
-                (self.primary, self.lost_at) = (Some(machine), None);
-                self.machines[machine].held_at = None;
+            Some(server) => {
+                (self.primary, self.lost_at) = (Some(server), None);
+                self.servers[server].held_at = None;
             }
             None => self.lost_at = Some(now),
         }
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use leverpoint_cluster_model::set::Build as Machines;
+use leverpoint_cluster_model::replica_set::ReplicaSetConfig as Machines;
 use leverpoint_test_support::gateway::begin;
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
 use leverpoint_test_support::relay::Trouble;
@@ -78,7 +78,7 @@
     } = timing;
     let (set, members, known) = serving(
         Machines {
-            lag: 1_000,
+            replication_lag: 1_000,
             ..PLAIN
         },
         3,
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use leverpoint_cluster_model::set::Build;
+use leverpoint_cluster_model::replica_set::ReplicaSetConfig;
 use leverpoint_test_support::agent::agent;
 use leverpoint_test_support::gateway::{self, Gateway};
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
@@ -25,8 +25,8 @@
 /// A set whose replicas are ten minutes behind, so that only its primary has what was written just now.
 fn set() -> (std::sync::Arc<Set>, Vec<Member>, String) {
     serving(
-        Build {
-            lag: 6_000_000,
+        ReplicaSetConfig {
+            replication_lag: 6_000_000,
             ..PLAIN
         },
         3,
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 use hdrhistogram::Histogram;
-use leverpoint_cluster_model::set::Build;
+use leverpoint_cluster_model::replica_set::ReplicaSetConfig;
 use leverpoint_test_support::client::Judged;
 use leverpoint_test_support::client::{judged, noticed};
 use leverpoint_test_support::gateway::Gateway;
@@ -59,7 +59,10 @@
 const LANES: usize = 6;
 pub(crate) const MEMBERS: usize = 4;
 /// Replication within a data centre, on the slow side.
-pub(crate) const BUILD: Build = Build { lag: 150, ..PLAIN };
+pub(crate) const BUILD: ReplicaSetConfig = ReplicaSetConfig {
+    replication_lag: 150,
+    ..PLAIN
+};
 pub(crate) const WORK: Duration = Duration::from_millis(2);
 
 /// What one lane has measured.
--- a/crates/simulator/src/agents.rs
+++ b/crates/simulator/src/agents.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverpoint_cluster_model::list::Phase;
+use leverpoint_cluster_model::endpoint_list::Phase;
 use leverpoint_runtime::{Listener, now, sleep, timeout_at};
 
 use crate::course::{CLOSES, Play, address};
@@ -52,11 +52,11 @@
         }
         let list = self.place.list.borrow();
         let known = self.place.agent_knows.borrow_mut()[n].replace(list.revision());
-        for entry in list.since(known) {
+        for entry in list.changed_since(known) {
             let wanted = entry.phase == Phase::Up;
             self.checker
                 .borrow_mut()
-                .told(self.now(), n, entry.machine, wanted);
+                .told(self.now(), n, entry.server, wanted);
         }
     }
 
--- a/crates/simulator/src/course.rs
+++ b/crates/simulator/src/course.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use leverpoint_cluster_model::Ticks;
-use leverpoint_cluster_model::list::{List, Phase};
-use leverpoint_cluster_model::set::{Build, Set};
+use leverpoint_cluster_model::endpoint_list::{EndpointList, Phase};
+use leverpoint_cluster_model::replica_set::{ReplicaSet, ReplicaSetConfig};
 use leverpoint_config::node;
 use leverpoint_config::operator::{self, OperatorConfig};
 use leverpoint_gateway::gateway::Gateway;
@@ -26,17 +26,17 @@
 pub(crate) const GRACE: Ticks = 5_000;
 /// One way between any two machines.
 pub(crate) const LATENCY: (Ticks, Ticks) = (2, 12);
-pub(crate) const BUILD: Build = Build {
+pub(crate) const BUILD: ReplicaSetConfig = ReplicaSetConfig {
     slots: 6,
-    queue: 30,
-    lag: 300,
-    window: WINDOW,
-    election: 8_000,
-    cold_share: 0.17,
-    cold_time: 20_000,
-    fall_multiple: 1.25,
-    fall_time: 5_000,
-    usual_work: 150,
+    queue_capacity: 30,
+    replication_lag: 300,
+    key_retention: WINDOW,
+    election_duration: 8_000,
+    cold_start_capacity: 0.17,
+    cold_start_duration: 20_000,
+    overload_multiple: 1.25,
+    overload_window: 5_000,
+    typical_work: 150,
 };
 
 pub(crate) const SETTINGS: &str = r#"{"balancers": GATEWAYS, "me": ME, "tickMs": 5.0, "zone": ZONE, "zones": [ZONES], "discovery": "pushed",
@@ -124,9 +124,9 @@
 }
 
 pub(crate) struct Place {
-    pub(crate) sets: RefCell<Vec<Set>>,
+    pub(crate) sets: RefCell<Vec<ReplicaSet>>,
     pub(crate) a_set: usize,
-    pub(crate) list: RefCell<List>,
+    pub(crate) list: RefCell<EndpointList>,
     pub(crate) published: Notify,
     pub(crate) spoils: RefCell<Vec<bool>>,
     pub(crate) agent_silent: RefCell<Vec<bool>>,
@@ -209,12 +209,12 @@
     pub(crate) fn publish(&self, at: Ticks, machine: usize, phase: Phase) {
         let (set, member) = self.set_of(machine);
         let sets = self.place.sets.borrow();
-        let started = sets[set].machines[member].started;
+        let started = sets[set].servers[member].started_at;
         let primary = sets[set].is_primary(member);
         self.place
             .list
             .borrow_mut()
-            .change(at, machine, set, phase, primary, started);
+            .schedule_change(at, machine, set, phase, primary, started);
     }
 
     pub(crate) fn start_gateway(self: &Rc<Self>, n: usize) {
@@ -280,21 +280,21 @@
     pub(crate) fn list_text(&self, since: Option<u64>) -> String {
         let list = self.place.list.borrow();
         let entries: Vec<_> = list
-            .since(since)
+            .changed_since(since)
             .map(|e| {
                 let state = match e.phase {
                     Phase::Up => "up",
                     Phase::Draining => "draining",
                     Phase::Removed => "removed",
                 };
-                let mode = if e.primary { "read-write" } else { "read-only" };
-                let boot = if e.started > 0 { UNIX.as_millis() as i64 + e.started / 10 } else { 0 };
+                let mode = if e.is_primary { "read-write" } else { "read-only" };
+                let boot = if e.started_at > 0 { UNIX.as_millis() as i64 + e.started_at / 10 } else { 0 };
                 format!(
                     r#"{{"uid":"m{}","endpoint":"{}","az":"{}","pod_group":{},"state":"{state}","mode":"{mode}","boot_ms":{boot}}}"#,
-                    e.machine,
-                    address(1, e.machine),
-                    zone(self.scenario.zone(e.machine % self.place.a_set)),
-                    e.set
+                    e.server,
+                    address(1, e.server),
+                    zone(self.scenario.zone(e.server % self.place.a_set)),
+                    e.replica_set
                 )
             })
             .collect();
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use leverpoint_cluster_model::Ticks;
-use leverpoint_cluster_model::set::{self, Reply};
+use leverpoint_cluster_model::replica_set::{self, Reply};
 use leverpoint_runtime::{Listener, sleep};
 use leverpoint_test_support::member::{answer, named, word};
 
@@ -56,8 +56,8 @@
                 .unwrap_or(0)
                 * 10;
             let arrived = self.now();
-            let place = self.place.sets.borrow_mut()[set].arrives(arrived, member);
-            if self.place.sets.borrow()[set].machines[member].fallen {
+            let place = self.place.sets.borrow_mut()[set].admit(arrived, member);
+            if self.place.sets.borrow()[set].servers[member].crashed_by_overload {
                 self.checker.borrow_mut().fell(self.now(), n);
             }
             let (reply, position, effect) = match place {
@@ -66,10 +66,10 @@
                     let mut begins = begins;
                     while !begins && self.now() < arrived + wait {
                         sleep(Duration::from_millis(1)).await;
-                        begins = self.place.sets.borrow_mut()[set].turn(self.now(), member);
+                        begins = self.place.sets.borrow_mut()[set].start_queued(self.now(), member);
                     }
                     if !begins {
-                        self.place.sets.borrow_mut()[set].gives_up(member);
+                        self.place.sets.borrow_mut()[set].abandon_queued(member);
                         (Reply::Full, 0, false)
                     } else {
                         let group = named(&text, "c").unwrap_or_default().to_owned();
@@ -79,12 +79,12 @@
                         let write = text.starts_with("INSERT");
                         let checks = self.scenario.check != "none";
                         let owed = self.checker.borrow().owed(&id).filter(|_| checks);
-                        let ask = set::Ask {
-                            write,
-                            key: named(&text, "k"),
-                            owed,
+                        let ask = replica_set::Statement {
+                            is_write: write,
+                            idempotency_key: named(&text, "k"),
+                            required_position: owed,
                         };
-                        self.place.sets.borrow_mut()[set].works(self.now(), member, &ask)
+                        self.place.sets.borrow_mut()[set].complete(self.now(), member, &ask)
                     }
                 }
             };
@@ -122,7 +122,7 @@
                 return Ok(());
             }
             let at = self.place.sets.borrow()[set]
-                .position(self.now(), member)
+                .applied_position(self.now(), member)
                 .max(position);
             word(
                 &mut out,
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -5,8 +5,8 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use leverpoint_cluster_model::list::Phase;
-use leverpoint_cluster_model::set::{Health, Set};
+use leverpoint_cluster_model::endpoint_list::Phase;
+use leverpoint_cluster_model::replica_set::{Health, ReplicaSet};
 use leverpoint_runtime::{Instant, set_simulated_runtime, sleep};
 use tokio::sync::Notify;
 
@@ -82,7 +82,7 @@
             }
             Fault::Lags(m, on) => {
                 let (set, member) = self.set_of(m);
-                self.place.sets.borrow_mut()[set].hold_up(now, member, on);
+                self.place.sets.borrow_mut()[set].pause_replay(now, member, on);
             }
             Fault::Spoils(m, on) => self.place.spoils.borrow_mut()[m] = on,
             Fault::Resets(m) => {
@@ -103,7 +103,7 @@
                 if let Some(before) = before {
                     let machine = set * self.place.a_set + before;
                     self.place.was_primary.borrow_mut().insert(machine, now);
-                    self.place.sets.borrow_mut()[set].hand_over(member);
+                    self.place.sets.borrow_mut()[set].switch_primary(member);
                     self.publish_role(now, machine, Phase::Up);
                 }
                 self.publish_role(now, m, Phase::Up);
@@ -144,7 +144,7 @@
                 self.publish_role(now, machine, Phase::Up);
             }
         }
-        if self.place.list.borrow_mut().publish(now) {
+        if self.place.list.borrow_mut().publish_due(now) {
             (0..self.scenario.gateways).for_each(|n| self.agent_learns(n));
             self.place.published.notify_waiters();
         }
@@ -163,7 +163,7 @@
     set_simulated_runtime(Some(sim.clone()));
     let machines = scenario.sets * scenario.machines_a_set;
     let sets = (0..scenario.sets)
-        .map(|_| Set::new(BUILD, scenario.machines_a_set))
+        .map(|_| ReplicaSet::new(BUILD, scenario.machines_a_set))
         .collect();
     let play = Rc::new(Play {
         sim: sim.clone(),
@@ -196,9 +196,9 @@
         play.place
             .list
             .borrow_mut()
-            .change(0, machine, set, Phase::Up, primary, 0);
+            .schedule_change(0, machine, set, Phase::Up, primary, 0);
     }
-    play.place.list.borrow_mut().publish(0);
+    play.place.list.borrow_mut().publish_due(0);
     sim.begin(CLIENTS, Role::Client);
     for n in 0..machines {
         sim.begin(play.machine_process(n), Role::Machine);
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,7 +1,9 @@
 //! Seeds of every scenario keep every rule, and one seed always gives the same trace.
 
-use leverpoint_cluster_model::list::{List, Phase};
-use leverpoint_cluster_model::set::{Ask, Build, Health, Reply, Set};
+use leverpoint_cluster_model::endpoint_list::{EndpointList, Phase};
+use leverpoint_cluster_model::replica_set::{
+    Health, ReplicaSet, ReplicaSetConfig, Reply, Statement,
+};
 use leverpoint_runtime::Instant;
 use leverpoint_simulator::checker::{Checker, Effects, Final, Outcome};
 use leverpoint_simulator::play::play;
@@ -212,76 +214,81 @@
 
 #[test]
 fn a_set_drops_repeats_refuses_what_is_behind_and_elects_who_has_applied_most() {
-    let build = Build {
+    let build = ReplicaSetConfig {
         slots: 2,
-        queue: 1,
-        lag: 100,
-        window: 1_000,
-        election: 500,
-        cold_share: 0.5,
-        cold_time: 2_000,
-        fall_multiple: 2.0,
-        fall_time: 300,
-        usual_work: 200,
+        queue_capacity: 1,
+        replication_lag: 100,
+        key_retention: 1_000,
+        election_duration: 500,
+        cold_start_capacity: 0.5,
+        cold_start_duration: 2_000,
+        overload_multiple: 2.0,
+        overload_window: 300,
+        typical_work: 200,
     };
-    let mut set = Set::new(build, 3);
-    let keyed = Ask {
-        write: true,
-        key: Some("k"),
-        owed: None,
+    let mut set = ReplicaSet::new(build, 3);
+    let keyed = Statement {
+        is_write: true,
+        idempotency_key: Some("k"),
+        required_position: None,
     };
-    let read = |owed| Ask {
-        write: false,
-        key: None,
-        owed,
+    let read = |owed| Statement {
+        is_write: false,
+        idempotency_key: None,
+        required_position: owed,
     };
     let mut out = vec![
-        format!("{:?}", set.works(10, 0, &keyed)),
-        format!("again {:?}", set.works(20, 0, &keyed)),
-        format!("after its window {:?}", set.works(1_500, 0, &keyed)),
-        format!("at a replica {:?}", set.works(1_500, 1, &keyed)),
-        format!("old enough {:?}", set.works(1_500, 1, &read(Some(1_400)))),
-        format!("too young {:?}", set.works(1_500, 1, &read(Some(1_401)))),
+        format!("{:?}", set.complete(10, 0, &keyed)),
+        format!("again {:?}", set.complete(20, 0, &keyed)),
+        format!("after its window {:?}", set.complete(1_500, 0, &keyed)),
+        format!("at a replica {:?}", set.complete(1_500, 1, &keyed)),
+        format!(
+            "old enough {:?}",
+            set.complete(1_500, 1, &read(Some(1_400)))
+        ),
+        format!("too young {:?}", set.complete(1_500, 1, &read(Some(1_401)))),
     ];
-    assert_eq!(set.works(1_500, 1, &read(Some(1_401))).0, Reply::Behind);
-    set.hold_up(1_600, 1, true);
+    assert_eq!(set.complete(1_500, 1, &read(Some(1_401))).0, Reply::Behind);
+    set.pause_replay(1_600, 1, true);
     set.set_health(1_700, 0, Health::Down);
     assert_eq!(set.elect(2_199), None);
     out.push(format!("elected {:?}", set.elect(2_200)));
     set.set_health(3_000, 0, Health::Up);
     out.push(format!(
         "{:?}",
-        (0..4).map(|_| set.arrives(3_001, 0)).collect::<Vec<_>>()
+        (0..4).map(|_| set.admit(3_001, 0)).collect::<Vec<_>>()
     ));
     out.push(format!(
         "{:?} fallen {}",
-        set.arrives(3_400, 0),
-        set.machines[0].fallen
+        set.admit(3_400, 0),
+        set.servers[0].crashed_by_overload
     ));
     for _ in 0..8 {
-        let _ = set.arrives(3_410, 0);
+        let _ = set.admit(3_410, 0);
     }
-    assert!(set.machines[0].fallen);
+    assert!(set.servers[0].crashed_by_overload);
     insta::assert_snapshot!(out.join("\n"));
 }
 
 #[test]
 fn a_list_tells_what_has_changed_since_a_revision_and_nothing_early() {
-    let mut list = List::default();
-    (0..3).for_each(|m| list.change(0, m, 0, Phase::Up, m == 0, 0));
-    assert!(list.publish(0));
+    let mut list = EndpointList::default();
+    (0..3).for_each(|m| list.schedule_change(0, m, 0, Phase::Up, m == 0, 0));
+    assert!(list.publish_due(0));
     let held = list.revision();
-    list.change(50, 1, 0, Phase::Draining, false, 0);
-    list.change(90, 2, 0, Phase::Removed, false, 0);
-    assert!(!list.publish(49) && list.next_due() == Some(50));
-    assert!(list.publish(90));
+    list.schedule_change(50, 1, 0, Phase::Draining, false, 0);
+    list.schedule_change(90, 2, 0, Phase::Removed, false, 0);
+    assert!(!list.publish_due(49) && list.next_publication_at() == Some(50));
+    assert!(list.publish_due(90));
     let changed: Vec<_> = list
-        .since(Some(held))
-        .map(|e| (e.machine, e.phase))
+        .changed_since(Some(held))
+        .map(|e| (e.server, e.phase))
         .collect();
     assert_eq!(changed, [(1, Phase::Draining), (2, Phase::Removed)]);
     assert_eq!(
-        list.since(None).map(|e| e.machine).collect::<Vec<_>>(),
+        list.changed_since(None)
+            .map(|e| e.server)
+            .collect::<Vec<_>>(),
         [0, 1]
     );
 }
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -11,24 +11,26 @@
 use std::time::{Duration, Instant};
 
 use leverpoint_cluster_model::Ticks;
-use leverpoint_cluster_model::set::{Ask, Build, Health, Reply, Set as Model};
+use leverpoint_cluster_model::replica_set::{
+    Health, ReplicaSet as Model, ReplicaSetConfig, Reply, Statement,
+};
 
 use crate::pace::{Pace, write_paced};
 use crate::values::{length_of, made};
 use crate::wire::{READ, WRITTEN, list, message, put, row_of, target, unix_ms};
 
 /// A set with no lag, no queue that binds and no cold start, whose keyed repeats are dropped for three seconds.
-pub const PLAIN: Build = Build {
+pub const PLAIN: ReplicaSetConfig = ReplicaSetConfig {
     slots: 1_000,
-    queue: 1_000,
-    lag: 0,
-    window: 30_000,
-    election: 8_000,
-    cold_share: 1.0,
-    cold_time: 0,
-    fall_multiple: 1e9,
-    fall_time: 10_000,
-    usual_work: 40,
+    queue_capacity: 1_000,
+    replication_lag: 0,
+    key_retention: 30_000,
+    election_duration: 8_000,
+    cold_start_capacity: 1.0,
+    cold_start_duration: 0,
+    overload_multiple: 1e9,
+    overload_window: 10_000,
+    typical_work: 40,
 };
 
 /// What all members of a set share.
@@ -67,7 +69,7 @@
 }
 
 impl Set {
-    pub fn new(build: Build, machines: usize) -> Arc<Set> {
+    pub fn new(build: ReplicaSetConfig, machines: usize) -> Arc<Set> {
         let state = State {
             model: Model::new(build, machines),
             wrote: BTreeMap::new(),
@@ -110,13 +112,17 @@
     }
 
     pub fn hand_over(&self, to: usize) {
-        self.state.lock().unwrap().model.hand_over(to);
+        self.state.lock().unwrap().model.switch_primary(to);
     }
 
     /// A replica applies nothing more, or all of it again.
     pub fn hold_up(&self, member: usize, held: bool) {
         let now = self.now();
-        self.state.lock().unwrap().model.hold_up(now, member, held);
+        self.state
+            .lock()
+            .unwrap()
+            .model
+            .pause_replay(now, member, held);
     }
 
     pub fn set_health(&self, member: usize, health: Health) {
@@ -136,23 +142,23 @@
 
     /// A slot for a statement that has come whole.
     fn begins(&self, member: usize, patience: Duration) -> Result<(), Reply> {
-        if self
-            .state
-            .lock()
-            .unwrap()
-            .model
-            .arrives(self.now(), member)?
-        {
+        if self.state.lock().unwrap().model.admit(self.now(), member)? {
             return Ok(());
         }
         let until = Instant::now() + patience;
         while Instant::now() < until {
             sleep(Duration::from_millis(1));
-            if self.state.lock().unwrap().model.turn(self.now(), member) {
+            if self
+                .state
+                .lock()
+                .unwrap()
+                .model
+                .start_queued(self.now(), member)
+            {
                 return Ok(());
             }
         }
-        self.state.lock().unwrap().model.gives_up(member);
+        self.state.lock().unwrap().model.abandon_queued(member);
         Err(Reply::Full)
     }
 
@@ -164,13 +170,13 @@
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         let primary = state.model.is_primary(member);
-        let (reply, at, effect) = state.model.works(
+        let (reply, at, effect) = state.model.complete(
             now,
             member,
-            &Ask {
-                write,
-                key,
-                owed: None,
+            &Statement {
+                is_write: write,
+                idempotency_key: key,
+                required_position: None,
             },
         );
         if effect {
@@ -184,11 +190,11 @@
         }
         if !write && named(text, "c") == Some("own") && reply == Reply::Row {
             let wrote = state.wrote.get(session).copied().unwrap_or(0);
-            let others = (0..state.model.machines.len()).filter(|m| !state.model.is_primary(*m));
+            let others = (0..state.model.servers.len()).filter(|m| !state.model.is_primary(*m));
             let needless = primary
                 && others
                     .into_iter()
-                    .any(|m| state.model.position(now, m) >= wrote);
+                    .any(|m| state.model.applied_position(now, m) >= wrote);
             let id = named(text, "id").unwrap_or_default().to_owned();
             state.reads.insert(
                 id,
@@ -238,7 +244,11 @@
 }
 
 /// A set that serves: its members, and the list that names them.
-pub fn serving(build: Build, many: usize, work: Duration) -> (Arc<Set>, Vec<Member>, String) {
+pub fn serving(
+    build: ReplicaSetConfig,
+    many: usize,
+    work: Duration,
+) -> (Arc<Set>, Vec<Member>, String) {
     let set = Set::new(build, many);
     let members: Vec<_> = (0..many).map(|n| Member::start(&set, n, work)).collect();
     let mode = |m: &Member| if m.primary { "read-write" } else { "read-only" };
