--- a/crates/engine/src/client_connections.rs
+++ b/crates/engine/src/client_connections.rs
@@ -238,7 +238,7 @@
     /// Whether the client is known to have closed or reset the connection. Data received before that may still be
     /// unread.
     pub fn is_disconnected(&self) -> bool {
-        self.stream.ended()
+        self.stream.peer_closed()
     }
 
     /// Returns the limits in force.
@@ -348,7 +348,7 @@
     /// Returns the number of bytes that are not written yet, or are in the kernel's send buffer and not acknowledged.
     pub fn unacknowledged_bytes(&self) -> usize {
         let unsent = self.bytes_queued.get() - self.bytes_written.get();
-        unsent + self.stream.unacknowledged()
+        unsent + self.stream.unacknowledged_bytes()
     }
 
     /// Records that bytes of an incomplete message were received.
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_config::operator::SessionTracking;
 use leverpoint_routing::api::{AttemptOutcome, Consistency, ServerReport, Ticks};
-use leverpoint_runtime::{plant, unix};
+use leverpoint_runtime::{failpoint_active, unix_time};
 use leverpoint_sessions::{
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
@@ -78,7 +78,7 @@
 impl SessionConsistency {
     /// Creates a tracker without known sessions; `seed` is that of the tracker's random numbers.
     pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
-        if plant("epoch-forgotten") {
+        if failpoint_active("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
         let tracker = RefCell::new(SessionTracker::new(tracking.config, now, seed));
@@ -181,7 +181,7 @@
 
     /// Returns the position in a session token; none if the token is not valid for the session.
     fn verified_position(&self, text: &str, session: u64) -> Option<Ticks> {
-        if plant("token-forged") {
+        if failpoint_active("token-forged") {
             return Some(1);
         }
         SessionToken::verify(&self.keys, text, session)
@@ -192,7 +192,7 @@
         if session.write {
             !self.keys.is_empty() || self.replicated.get()
         } else {
-            session.requirement.is_some() && !plant("uncovered")
+            session.requirement.is_some() && !failpoint_active("uncovered")
         }
     }
 
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::Ticks;
@@ -256,7 +256,7 @@
     ///
     /// This member itself counts while it serves without a quorum; without a layout any member may.
     pub(crate) fn is_partitioned(&self, now: Ticks, except: &str) -> bool {
-        if plant("alone-unseen") {
+        if failpoint_active("alone-unseen") {
             return false;
         }
         self.layout_history.newest().is_none()
@@ -324,7 +324,7 @@
         self.counters.records_written += records.len() as u64;
         let mut merged = Vec::new();
         for record in records {
-            if plant("merge-goes-back") {
+            if failpoint_active("merge-goes-back") {
                 self.store.forget(record.key);
             }
             self.store.merge(record);
--- a/crates/replication/src/write_coordinator.rs
+++ b/crates/replication/src/write_coordinator.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use crate::Ticks;
 use crate::action::{Action, Completion};
@@ -103,7 +103,7 @@
 
     fn send_initial(&mut self, ctx: &mut Context<'_>, id: OperationId, records: &[Record]) {
         let layouts_known = ctx.state.layout_history.is_known();
-        let premature = plant("promise-before-quorum");
+        let premature = failpoint_active("promise-before-quorum");
         for record in records {
             let recipients = self.recipients(id, record.key);
             self.send(ctx, id, record, &recipients);
@@ -315,7 +315,7 @@
         match effect {
             WriteQuorumEffect::Nothing | WriteQuorumEffect::SendToAll => {}
             WriteQuorumEffect::Acknowledge => {
-                let premature = plant("promise-before-quorum");
+                let premature = failpoint_active("promise-before-quorum");
                 let write = self.pending.get(&id);
                 if write.is_some_and(|write| premature || write.is_acknowledged()) {
                     self.clear_by_quorum(ctx, id);
