--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -13,9 +13,9 @@
     EndpointSummary, MAX_DRAINED, MAX_NAME_LEN, Record, RecordKey, RecordValue,
 };
 use leverpoint_test_support::gateway::{self as stands, config, free_address};
-use leverpoint_test_support::held::HeldAgent;
-use leverpoint_test_support::server::{rows, server};
-use leverpoint_test_support::wire::{http, insert, list, select};
+use leverpoint_test_support::manual::ManualAgent;
+use leverpoint_test_support::server::{always_row, start_server};
+use leverpoint_test_support::wire::{endpoint_list, http_ok, insert, select};
 
 const MANY: usize = 1_024;
 
@@ -49,7 +49,7 @@
 
 #[test]
 fn a_gateway_serves_1_024_servers_in_one_replica_set_and_in_as_many() {
-    let primary = server("read-write", rows("one"));
+    let primary = start_server("read-write", always_row("one"));
     let one = |n| {
         (
             2,
@@ -65,19 +65,26 @@
         (targets(&primary.address, one), vec![2]),
         (targets(&primary.address, many), vec![0, 2, MANY - 1]),
     ] {
-        let agent = HeldAgent::new();
+        let agent = ManualAgent::new();
         let address = free_address();
         // Known from the start, and said whole by the agent.
-        let text = config(&address, &agent.address, &list(7, true, &targets), SETTINGS);
+        let text = config(
+            &address,
+            &agent.address,
+            &endpoint_list(7, true, &targets),
+            SETTINGS,
+        );
         let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
-        agent.asked().says(&http(&list(8, true, &targets)));
-        assert!(agent.asked().line.contains("index=8&"));
+        agent
+            .next_request()
+            .send(&http_ok(&endpoint_list(8, true, &targets)));
+        assert!(agent.next_request().line.contains("index=8&"));
         let mut client = gateway.client();
-        assert_eq!(client.ask(""), "I Z");
+        assert_eq!(client.run_statement(""), "I Z");
         for set in sets {
             for text in [insert("report"), select("view")] {
                 let text = text.replace("cluster=2", &format!("cluster={set}"));
-                assert_eq!(client.ask(&text), "T D one C Z", "{text}");
+                assert_eq!(client.run_statement(&text), "T D one C Z", "{text}");
             }
         }
         gateway.counters();
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -13,7 +13,7 @@
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
 use leverpoint_test_support::relay::Trouble;
 use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::wire::{LONG, http, list, target, unix_ms};
+use leverpoint_test_support::wire::{WAIT_LIMIT, endpoint_list, http_ok, target, unix_ms};
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
@@ -127,7 +127,7 @@
     }
 
     fn ask(&self, p: usize, text: &str) -> String {
-        self.stage.gateway(p).client().ask(text)
+        self.stage.gateway(p).client().run_statement(text)
     }
 
     /// A report of a session; what its client hears.
@@ -151,7 +151,7 @@
                 return;
             }
             assert!(
-                heard.contains("C53300") && began.elapsed() < LONG,
+                heard.contains("C53300") && began.elapsed() < WAIT_LIMIT,
                 "{heard}"
             );
             std::thread::sleep(Duration::from_millis(20));
@@ -186,7 +186,7 @@
         let began = Instant::now();
         while !enough(self.counted(p, name)) {
             assert!(
-                began.elapsed() < LONG,
+                began.elapsed() < WAIT_LIMIT,
                 "{name} at {p}: {}",
                 self.counted(p, name)
             );
@@ -203,7 +203,7 @@
             if shown["others"].as_u64() > Some(0) {
                 return;
             }
-            assert!(began.elapsed() < LONG, "{p}: {shown}");
+            assert!(began.elapsed() < WAIT_LIMIT, "{p}: {shown}");
         }
     }
 
@@ -308,7 +308,7 @@
             assert!(heard.contains("C53300 D"), "{heard}");
             turned += 1;
         }
-        assert!(began.elapsed() < LONG);
+        assert!(began.elapsed() < WAIT_LIMIT);
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(turned > 0 && fleet.counted(0, "turned") > 0);
@@ -337,7 +337,7 @@
         }
         let shown =
             |p| String::from_utf8(fleet.stage.runs_words(p, &["copies", "--json"]).stdout).unwrap();
-        assert!(began.elapsed() < LONG, "{} {}", shown(0), shown(2));
+        assert!(began.elapsed() < WAIT_LIMIT, "{} {}", shown(0), shown(2));
     }
     // One holder alone is not reached from the asker: another is asked beside it.
     fleet.writes(1, "u", "k2");
@@ -438,8 +438,8 @@
         .stage
         .gateway(1)
         .agent
-        .say
-        .send(http(&list(8, true, &targets)))
+        .responses
+        .send(http_ok(&endpoint_list(8, true, &targets)))
         .unwrap();
     // Its set has another primary than all lists say, and one gateway has heard so.
     fleet.set.hand_over(2);
@@ -460,7 +460,7 @@
             break;
         }
         assert!(
-            began.elapsed() < LONG,
+            began.elapsed() < WAIT_LIMIT,
             "{}",
             fleet.stage.gateway(4).said.borrow().join("\n")
         );
@@ -478,7 +478,10 @@
         target("s2", &fleet.members[2].address, "up", "read-only"),
     ];
     let agent = &fleet.stage.gateway(1).agent;
-    agent.say.send(http(&list(8, true, &targets))).unwrap();
+    agent
+        .responses
+        .send(http_ok(&endpoint_list(8, true, &targets)))
+        .unwrap();
     (0..4).for_each(|p| fleet.holds_other_records(p));
     // The holders stand still, but for a moment each in turn: ever longer ones, as a busy machine may need them.
     let (recovered, over) = mpsc::channel();
@@ -499,7 +502,7 @@
     });
     fleet.stage.start(4);
     let line = loop {
-        let line = fleet.stage.gateway(4).log.recv_timeout(LONG).unwrap();
+        let line = fleet.stage.gateway(4).log.recv_timeout(WAIT_LIMIT).unwrap();
         if line.contains("draining endpoints recovered") || line.contains("at the start") {
             break line;
         }
@@ -547,7 +550,7 @@
         if verified.status.success() {
             break;
         }
-        assert!(began.elapsed() < LONG, "{text}");
+        assert!(began.elapsed() < WAIT_LIMIT, "{text}");
     }
 }
 
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -9,9 +9,9 @@
 use leverpoint_test_support::agent::Agent;
 use leverpoint_test_support::discovery::{Capacity, Discovery};
 use leverpoint_test_support::gateway::{self as stands, Gateway, config, counted, free_address};
-use leverpoint_test_support::held::{HeldAgent, listed};
-use leverpoint_test_support::server::{rows, server};
-use leverpoint_test_support::wire::{http, insert, target};
+use leverpoint_test_support::manual::{ManualAgent, full_endpoint_list};
+use leverpoint_test_support::server::{always_row, start_server};
+use leverpoint_test_support::wire::{http_ok, insert, target};
 
 /// The grace after which nothing goes to a server that drains.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
@@ -45,8 +45,8 @@
     let text = config(&address, discovery, known, &settings(mode));
     let agent = Agent {
         address: discovery.to_owned(),
-        say: mpsc::channel().0,
-        asked: mpsc::channel().1,
+        responses: mpsc::channel().0,
+        requests: mpsc::channel().1,
     };
     stands::start(&text, address, agent, program(), &[])
 }
@@ -55,19 +55,19 @@
 #[test]
 fn a_silent_agent_is_polled_again_within_the_drain_grace() {
     let (drains, stays) = (
-        server("read-write", rows("drains")),
-        server("read-write", rows("stays")),
+        start_server("read-write", always_row("drains")),
+        start_server("read-write", always_row("stays")),
     );
-    let known = listed(
+    let known = full_endpoint_list(
         7,
         &[
             ("s0", &drains.address, "up", "read-write"),
             ("s1", &stays.address, "up", "read-only"),
         ],
     );
-    let agent = HeldAgent::new();
+    let agent = ManualAgent::new();
     let gateway = gateway(&agent.address, &known, "pushed");
-    let now = listed(
+    let now = full_endpoint_list(
         9,
         &[
             ("s0", &drains.address, "draining", "read-only"),
@@ -75,21 +75,24 @@
         ],
     );
     // These calls are never answered: the agent learns and tells nothing. It may be back right after any of them.
-    let mut unanswered = vec![agent.asked()];
+    let mut unanswered = vec![agent.next_request()];
     for _ in 0..4 {
         let back = Instant::now();
-        unanswered.push(agent.asked());
+        unanswered.push(agent.next_request());
         assert!(
             back.elapsed() < DRAIN_GRACE,
             "the next call came {:?} after the return",
             back.elapsed()
         );
     }
-    agent.asked().says(&http(&now));
+    agent.next_request().send(&http_ok(&now));
     // Until a watch from that list on is opened: it has been taken.
-    while !agent.asked().line.contains("index=9") {}
-    assert_eq!(gateway.client().ask(&insert("order")), "T D stays C Z");
-    assert_eq!(drains.heard.try_iter().count(), 0);
+    while !agent.next_request().line.contains("index=9") {}
+    assert_eq!(
+        gateway.client().run_statement(&insert("order")),
+        "T D stays C Z"
+    );
+    assert_eq!(drains.statements.try_iter().count(), 0);
 }
 
 /// Twelve gateways start in the same moment before a discovery service that needs three seconds to answer one call of
@@ -97,8 +100,8 @@
 #[test]
 fn an_overloaded_discovery_updates_every_gateway_in_time() {
     let (drains, stays) = (
-        server("read-write", rows("drains")),
-        server("read-write", rows("stays")),
+        start_server("read-write", always_row("drains")),
+        start_server("read-write", always_row("stays")),
     );
     let lists = |drained: &str, role: &str, other: &str| {
         [
@@ -113,7 +116,7 @@
         longest_queue: Duration::from_secs(2),
     };
     let discovery = Discovery::new(capacity, 7, &before);
-    let known = leverpoint_test_support::wire::list(7, true, &before);
+    let known = leverpoint_test_support::wire::endpoint_list(7, true, &before);
     let addresses: Vec<_> = (0..12).map(|_| discovery.address()).collect();
     let starts = addresses.iter().map(|(address, _)| {
         let (address, known) = (address.clone(), known.clone());
@@ -151,18 +154,21 @@
     thread::sleep(
         (changed + COUNTS_AS_TOLD + DRAIN_GRACE).saturating_duration_since(Instant::now()),
     );
-    drains.heard.try_iter().for_each(drop);
+    drains.statements.try_iter().for_each(drop);
     for gateway in &gateways {
-        assert_eq!(gateway.client().ask(&insert("order")), "T D stays C Z");
+        assert_eq!(
+            gateway.client().run_statement(&insert("order")),
+            "T D stays C Z"
+        );
     }
-    assert_eq!(drains.heard.try_iter().count(), 0);
+    assert_eq!(drains.statements.try_iter().count(), 0);
 }
 
 /// Discovery is there and refuses every call: what it may have told counts six seconds later, and the gateway cannot know
 /// which server that is.
 #[test]
 fn a_gateway_refused_by_discovery_sheds_every_request_once_its_endpoint_list_lease_expires() {
-    let one = server("read-write", rows("one"));
+    let one = start_server("read-write", always_row("one"));
     let targets = [target("s0", &one.address, "up", "read-write")];
     let capacity = Capacity {
         call: Duration::from_millis(1),
@@ -173,28 +179,28 @@
     let (address, caller) = discovery.address();
     let gateway = gateway(
         &address,
-        &leverpoint_test_support::wire::list(7, true, &targets),
+        &leverpoint_test_support::wire::endpoint_list(7, true, &targets),
         "on_request",
     );
     let mut client = gateway.client();
-    assert_eq!(client.ask(&insert("order")), "T D one C Z");
+    assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     let refuses = Instant::now();
     discovery.refuse_all(true);
     assert!(discovery.refused(caller, 1, COUNTS_AS_TOLD));
-    assert_eq!(client.ask(&insert("order")), "T D one C Z");
+    assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     thread::sleep(
         (refuses + COUNTS_AS_TOLD + DRAIN_GRACE).saturating_duration_since(Instant::now()),
     );
-    one.heard.try_iter().for_each(drop);
+    one.statements.try_iter().for_each(drop);
     let began = Instant::now();
-    let answer = client.ask(&insert("order"));
+    let answer = client.run_statement(&insert("order"));
     assert!(answer.starts_with("E C53300"), "{answer}");
     gateway.logged("the list is too old to send by");
     assert!(
         began.elapsed() < Duration::from_millis(500),
         "what is given up is answered at once"
     );
-    assert_eq!(one.heard.try_iter().count(), 0);
+    assert_eq!(one.statements.try_iter().count(), 0);
     // A list, and it serves again.
     gateway.signal("-USR1");
     let state = gateway.logged("event=\"discovery\"");
@@ -202,5 +208,5 @@
     discovery.refuse_all(false);
     gateway.logged("discovery answers again");
     gateway.logged("the list holds again");
-    assert_eq!(client.ask(&insert("order")), "T D one C Z");
+    assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use leverpoint_test_support::relay::Trouble;
 use leverpoint_test_support::stage::{Build, KEY, Stage};
-use leverpoint_test_support::wire::list;
+use leverpoint_test_support::wire::endpoint_list;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
@@ -44,7 +44,7 @@
         members: true,
         relays: true,
         settings: SETTINGS.into(),
-        known: list(7, true, &[]),
+        known: endpoint_list(7, true, &[]),
         more: String::new(),
         seed: 11,
     };
@@ -279,7 +279,7 @@
         members: false,
         relays: false,
         settings: SETTINGS.into(),
-        known: list(7, true, &[]),
+        known: endpoint_list(7, true, &[]),
         more: String::new(),
         seed: 3,
     };
--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -9,7 +9,7 @@
 use leverpoint_replication::ReplicationStatus;
 use leverpoint_test_support::gateway::{config, output};
 use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::wire::list;
+use leverpoint_test_support::wire::endpoint_list;
 use serde_json::Value;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -103,7 +103,7 @@
     let text = config(
         "127.0.0.1:6432",
         "127.0.0.1:8500",
-        &list(7, true, &[]),
+        &endpoint_list(7, true, &[]),
         SETTINGS,
     );
     let (settings, operator) = (
@@ -130,7 +130,7 @@
     let text = config(
         "127.0.0.1:6432",
         "127.0.0.1:8500",
-        &list(7, true, &[]),
+        &endpoint_list(7, true, &[]),
         SETTINGS,
     );
     let (settings, operator) = (file("printed.json", &text), file("printed.hcl", EVERY_KEY));
@@ -280,7 +280,7 @@
         members: true,
         relays: false,
         settings: SETTINGS.into(),
-        known: list(7, true, &[]),
+        known: endpoint_list(7, true, &[]),
         more: "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\ncopies {\n  on = true\n}\n"
             .into(),
         seed: 5,
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use leverpoint_cluster_model::set::Build;
-use leverpoint_test_support::agent::agent;
+use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::gateway::{self, Gateway};
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
-use leverpoint_test_support::wire::http;
+use leverpoint_test_support::wire::http_ok;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
@@ -35,8 +35,8 @@
 }
 
 fn start(known: &str, operator: &Path) -> Gateway {
-    let (agent, address) = (agent(), gateway::free_address());
-    agent.say.send(http(known)).unwrap();
+    let (agent, address) = (start_agent(), gateway::free_address());
+    agent.responses.send(http_ok(known)).unwrap();
     let text = gateway::config(&address, &agent.address, known, SETTINGS);
     let words = ["--operator", operator.to_str().unwrap()];
     gateway::start(
@@ -72,13 +72,23 @@
     let (set, _members, known) = set();
     let follows = file("follow.hcl", "sessions {\n  follow = true\n}\n");
     let (one, other) = (start(&known, &follows), start(&known, &follows));
-    assert!(one.client().ask(&write("w1")).starts_with('T'));
+    assert!(one.client().run_statement(&write("w1")).starts_with('T'));
     drop(one);
-    assert!(other.client().ask(&read("r1", "")).starts_with('T'));
+    assert!(
+        other
+            .client()
+            .run_statement(&read("r1", ""))
+            .starts_with('T')
+    );
     let row = set.take_read("r1").unwrap();
     assert!(row.at >= set.wrote("64-p").unwrap() && row.by_primary);
     let again = start(&known, &follows);
-    assert!(again.client().ask(&read("r2", "")).starts_with('T'));
+    assert!(
+        again
+            .client()
+            .run_statement(&read("r2", ""))
+            .starts_with('T')
+    );
     assert!(set.take_read("r2").unwrap().at >= set.wrote("64-p").unwrap());
     assert_eq!(
         other.end(&["answered", "failed", "throttled"]),
@@ -98,7 +108,7 @@
     );
     let follows = file("disk.hcl", &text);
     let one = start(&known, &follows);
-    assert!(one.client().ask(&write("w1")).starts_with('T'));
+    assert!(one.client().run_statement(&write("w1")).starts_with('T'));
     one.end(&[]);
     let other = start(&known, &follows);
     let said = other.said.borrow().join("\n");
@@ -107,12 +117,17 @@
         "{said}"
     );
     // Who has written is owed that, exactly; who has not is owed nothing, so a replica answers.
-    assert!(other.client().ask(&read("r1", "")).starts_with('T'));
+    assert!(
+        other
+            .client()
+            .run_statement(&read("r1", ""))
+            .starts_with('T')
+    );
     assert!(set.take_read("r1").unwrap().by_primary);
     assert!(
         other
             .client()
-            .ask(&read("r2", "").replace("64-p", "64-q"))
+            .run_statement(&read("r2", "").replace("64-p", "64-q"))
             .starts_with('T')
     );
     assert!(!set.take_read("r2").unwrap().by_primary);
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -10,8 +10,10 @@
 use leverpoint_test_support::crowd::{Asks, Crowd, Habit, Seen};
 use leverpoint_test_support::gateway::{self as stands, Gateway};
 use leverpoint_test_support::pace::Pace;
-use leverpoint_test_support::server::{Does, Server, heard, rows, server};
-use leverpoint_test_support::wire::{insert, query, select};
+use leverpoint_test_support::server::{
+    Server, ServerAction, always_row, next_statement, start_server,
+};
+use leverpoint_test_support::wire::{insert, query_message, select};
 
 /// Client timeouts near enough that what is past them can be waited for, targets far from both.
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -61,7 +63,7 @@
 fn honest(gateway: &Gateway, many: usize) -> usize {
     let mut client = gateway.client();
     (0..many)
-        .filter(|_| client.ask(&select("view")).starts_with("T D "))
+        .filter(|_| client.run_statement(&select("view")).starts_with("T D "))
         .count()
 }
 
@@ -72,8 +74,8 @@
 
 /// A crowd of so many that never read, beside an honest client that is there before and one that comes later.
 fn beside_a_crowd(many: usize, limits: (usize, usize)) {
-    let replica = server("read-only", rows(&long_value()));
-    let primary = server("read-write", rows("honest"));
+    let replica = start_server("read-only", always_row(&long_value()));
+    let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(
         &[(&primary, "read-write"), (&replica, "read-only")],
         limits,
@@ -81,7 +83,7 @@
     );
     let mut first = gateway.client();
     for _ in 0..20 {
-        assert_eq!(first.ask(&insert("report")), "T D honest C Z");
+        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
     let seen = Arc::new(Seen::default());
     let crowd = Crowd::start(
@@ -92,7 +94,7 @@
         1 << 20,
     );
     while seen.asked.load(Relaxed) < 2 * many as u64 {
-        assert_eq!(first.ask(&insert("report")), "T D honest C Z");
+        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
     drop(crowd);
     // Whoever of them is still known is let go, and all that was held comes back.
@@ -132,8 +134,11 @@
         ("a stall in the row", Pace::Stall(30_000)),
     ];
     for (what, pace) in paces {
-        let slow = server("read-only", vec![Does::Paced(long_value(), pace)]);
-        let primary = server("read-write", rows("whole"));
+        let slow = start_server(
+            "read-only",
+            vec![ServerAction::PacedRow(long_value(), pace)],
+        );
+        let primary = start_server("read-write", always_row("whole"));
         let gateway = gateway(
             &[(&primary, "read-write"), (&slow, "read-only")],
             (32, 256),
@@ -141,8 +146,8 @@
         );
         // A time that answers usually take is known, so the dispatch to the slow one is not waited for in full.
         let mut client = gateway.client();
-        trace += &format!("{what}: {}", client.ask(&select("short")));
-        heard(&slow);
+        trace += &format!("{what}: {}", client.run_statement(&select("short")));
+        next_statement(&slow);
         trace += &format!(
             "; {}\n",
             gateway.end(&["answered", "dispatched", "ended.Reset", "ended.TimedOut"])
@@ -154,9 +159,15 @@
 #[test]
 fn a_write_whose_answer_trickles_has_its_whole_timeout() {
     let pace = Pace::Trickle(8, Duration::from_millis(20));
-    let primary = server("read-write", vec![Does::Paced("late".into(), pace)]);
+    let primary = start_server(
+        "read-write",
+        vec![ServerAction::PacedRow("late".into(), pace)],
+    );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    assert_eq!(gateway.client().ask(&insert("report")), "T D late C Z");
+    assert_eq!(
+        gateway.client().run_statement(&insert("report")),
+        "T D late C Z"
+    );
     assert_eq!(
         gateway.end(&["answered", "dispatched", "ended.Answered"]),
         "answered=1 dispatched=1 ended.Answered=1 "
@@ -165,17 +176,17 @@
 
 #[test]
 fn a_server_that_is_never_ready_after_its_row_holds_nothing() {
-    let primary = server(
+    let primary = start_server(
         "read-write",
         vec![
-            Does::Paced("row".into(), Pace::NeverReady),
-            Does::Row("next".into()),
+            ServerAction::PacedRow("row".into(), Pace::NeverReady),
+            ServerAction::Row("next".into()),
         ],
     );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&insert("report")), "T D row C Z");
-    assert_eq!(client.ask(&insert("report")), "T D next C Z");
+    assert_eq!(client.run_statement(&insert("report")), "T D row C Z");
+    assert_eq!(client.run_statement(&insert("report")), "T D next C Z");
     // The dispatch would have been waited for over a minute; it has ended, and its index is free.
     while counted(&gateway.counters(), "ended.Answered") < 2 {}
     assert_eq!(
@@ -186,7 +197,7 @@
 
 #[test]
 fn a_stalled_client_is_evicted_once_its_answers_have_expired() {
-    let primary = server("read-write", rows(&long_value()));
+    let primary = start_server("read-write", always_row(&long_value()));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let seen = Arc::new(Seen::default());
     let habits = [Habit::Stops(20_000, Duration::from_secs(60))];
@@ -203,7 +214,7 @@
 
 #[test]
 fn clients_that_send_half_a_statement_get_an_error_and_delay_nobody() {
-    let primary = server("read-write", rows("honest"));
+    let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let seen = Arc::new(Seen::default());
     let mut habits = vec![Habit::HalfSays; 40];
@@ -211,8 +222,8 @@
     let crowd = Crowd::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
     // One more of them, to hear what it is told.
     let mut half = gateway.client();
-    half.send(&query(&select("view"))[..40]);
-    assert_eq!(half.answer(), "E C08P01 end");
+    half.send(&query_message(&select("view"))[..40]);
+    assert_eq!(half.read_response(), "E C08P01 end");
     assert_eq!(honest(&gateway, 50), 50);
     drop(crowd);
     assert_eq!(
@@ -223,16 +234,16 @@
 
 #[test]
 fn a_long_statement_at_the_least_rate_is_taken_beyond_the_grace() {
-    let primary = server("read-write", rows("heard"));
+    let primary = start_server("read-write", always_row("heard"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let mut client = gateway.client();
     let text = insert("report").replace("\\x9f", &format!("\\x{}", "9f".repeat(32_000)));
-    let bytes = query(&text);
+    let bytes = query_message(&text);
     for piece in bytes.chunks(bytes.len() / 30) {
         client.send(piece);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(client.answer(), "T D heard C Z");
+    assert_eq!(client.read_response(), "T D heard C Z");
 }
 
 #[test]
@@ -240,15 +251,15 @@
     let mut does: Vec<_> = (0..40)
         .map(|n| {
             if n % 2 == 0 {
-                Does::Drop
+                ServerAction::Disconnect
             } else {
-                Does::Row(long_value())
+                ServerAction::Row(long_value())
             }
         })
         .collect();
-    does.push(Does::Row(long_value()));
-    let failing = server("read-only", does);
-    let primary = server("read-write", rows("whole"));
+    does.push(ServerAction::Row(long_value()));
+    let failing = start_server("read-only", does);
+    let primary = start_server("read-write", always_row("whole"));
     let gateway = gateway(
         &[(&primary, "read-write"), (&failing, "read-only")],
         (32, 256),
@@ -269,7 +280,7 @@
 
 #[test]
 fn signals_are_handled_with_slow_readers_open() {
-    let primary = server("read-write", rows(&long_value()));
+    let primary = start_server("read-write", always_row(&long_value()));
     let file = std::env::temp_dir().join(format!("leverpoint-operator-{}.hcl", std::process::id()));
     std::fs::write(&file, "slow {\n  grace = \"2s\"\n}\n").unwrap();
     let path = file.display().to_string();
@@ -315,22 +326,25 @@
 
 #[test]
 fn a_write_whose_answer_is_never_read_stands_and_is_not_retried() {
-    let primary = server("read-write", rows("done"));
+    let primary = start_server("read-write", always_row("done"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let mut stream = TcpStream::connect(&gateway.address).unwrap();
     stream
-        .write_all(leverpoint_test_support::wire::STARTUP)
+        .write_all(leverpoint_test_support::wire::STARTUP_MESSAGE)
         .unwrap();
     let mut admitted = [0; 64];
     assert!(stream.read(&mut admitted).unwrap() > 0);
-    stream.write_all(&query(&insert("report"))).unwrap();
+    stream.write_all(&query_message(&insert("report"))).unwrap();
     // Heard once; then its client goes without having read a byte of the answer.
-    heard(&primary);
+    next_statement(&primary);
     while counted(&gateway.counters(), "answered") < 1 {}
     drop(stream);
-    assert_eq!(gateway.client().ask(&insert("report")), "T D done C Z");
-    heard(&primary);
-    assert!(primary.heard.try_recv().is_err());
+    assert_eq!(
+        gateway.client().run_statement(&insert("report")),
+        "T D done C Z"
+    );
+    next_statement(&primary);
+    assert!(primary.statements.try_recv().is_err());
     assert_eq!(
         gateway.end(&["dispatched", "answered"]),
         "dispatched=2 answered=2 "
@@ -339,7 +353,7 @@
 
 #[test]
 fn log_lines_are_json_on_request() {
-    let primary = server("read-write", rows("x"));
+    let primary = start_server("read-write", always_row("x"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &["--log", "json"]);
     gateway.signal("-USR1");
     let line = gateway.logged("\"counters\"");
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -7,8 +7,8 @@
 use leverpoint_sessions::SessionToken;
 use leverpoint_signing::{Key, Keys};
 use leverpoint_test_support::gateway::{config, free_address, start};
-use leverpoint_test_support::held::HeldAgent;
-use leverpoint_test_support::wire::list;
+use leverpoint_test_support::manual::ManualAgent;
+use leverpoint_test_support::wire::endpoint_list;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "DISCOVERY",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
@@ -65,13 +65,18 @@
 
 /// The first two calls of a gateway that has a list from before and gets no answer.
 fn first_calls(discovery: &str) -> Vec<String> {
-    let held = HeldAgent::new();
+    let held = ManualAgent::new();
     let address = free_address();
     let settings = SETTINGS.replace("DISCOVERY", discovery);
-    let text = config(&address, &held.address, &list(7, true, &[]), &settings);
+    let text = config(
+        &address,
+        &held.address,
+        &endpoint_list(7, true, &[]),
+        &settings,
+    );
     let program = Path::new(env!("CARGO_BIN_EXE_leverpoint"));
     let _gateway = start(&text, address, held.agent(), program, &[]);
-    (0..2).map(|_| held.asked().line).collect()
+    (0..2).map(|_| held.next_request().line).collect()
 }
 
 #[test]
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -12,10 +12,10 @@
 
 use fastrand::Rng;
 use hdrhistogram::Histogram;
-use leverpoint_test_support::client::{Judged, judged};
+use leverpoint_test_support::client::{ResponseOutcome, classify_response};
 use leverpoint_test_support::member::{Set, serving};
 use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
 
@@ -129,10 +129,12 @@
                 thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            match judged(&heard, &made(&id, 64)) {
-                Judged::Answered => return Some(id),
-                Judged::Wrong | Judged::Failed => return None,
-                Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms.clamp(5, 100))),
+            match classify_response(&heard, &expected_value(&id, 64)) {
+                ResponseOutcome::Answered => return Some(id),
+                ResponseOutcome::Wrong | ResponseOutcome::Failed => return None,
+                ResponseOutcome::Throttled(ms) => {
+                    thread::sleep(Duration::from_millis(ms.clamp(5, 100)))
+                }
             }
         }
         None
@@ -383,10 +385,10 @@
             let began = Instant::now();
             loop {
                 let heard = stage::ask(&mut fleet[to], &text).ok_or("a connection ended")?;
-                match judged(&heard, &made(&id, 64)) {
-                    Judged::Answered => break,
+                match classify_response(&heard, &expected_value(&id, 64)) {
+                    ResponseOutcome::Answered => break,
                     // Its client comes back; that time counts as well.
-                    Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms)),
+                    ResponseOutcome::Throttled(ms) => thread::sleep(Duration::from_millis(ms)),
                     other => return Err(format!("{id}: {other:?}")),
                 }
             }
@@ -478,7 +480,8 @@
         let Some(heard) = line.as_mut().and_then(|stream| stage::ask(stream, &text)) else {
             continue;
         };
-        let answered = judged(&heard, &made(&id, 64)) == Judged::Answered;
+        let answered =
+            classify_response(&heard, &expected_value(&id, 64)) == ResponseOutcome::Answered;
         if let Some(row) = set.take_read(&id).filter(|_| answered && !write) {
             missing += usize::from(wrote.is_some_and(|wrote| row.at < wrote));
             rows.push((began.elapsed().as_secs_f64() * 1e3, row.needless));
--- a/crates/loadtest/src/honest.rs
+++ b/crates/loadtest/src/honest.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use leverpoint_test_support::client::Judged;
-use leverpoint_test_support::client::judged;
-use leverpoint_test_support::values::made;
-use leverpoint_test_support::wire::{STARTUP, query};
+use leverpoint_test_support::client::ResponseOutcome;
+use leverpoint_test_support::client::classify_response;
+use leverpoint_test_support::values::expected_value;
+use leverpoint_test_support::wire::{STARTUP_MESSAGE, query_message};
 
 use crate::record::Record;
 
@@ -37,7 +37,7 @@
     let length = heard
         .get(1..5)
         .map_or(0, |l| u32::from_be_bytes([l[0], l[1], l[2], l[3]]) as usize);
-    heard.len() > length && matches!(judged(heard, b""), Judged::Throttled(_))
+    heard.len() > length && matches!(classify_response(heard, b""), ResponseOutcome::Throttled(_))
 }
 
 /// Clients at work in one period; what they have measured comes when they are asked for it.
@@ -153,16 +153,16 @@
             };
             let mut heard = Vec::new();
             match self.ask(&text, ends, &mut heard) {
-                Ok(()) => match judged(&heard, &made(&id, *length)) {
-                    Judged::Answered => {
+                Ok(()) => match classify_response(&heard, &expected_value(&id, *length)) {
+                    ResponseOutcome::Answered => {
                         let at_ms = began.elapsed().as_millis() as u64;
                         return record.answered(at_ms, due.elapsed().as_micros() as u64, kind);
                     }
-                    Judged::Wrong => {
+                    ResponseOutcome::Wrong => {
                         record.wrong += 1;
                         return;
                     }
-                    Judged::Throttled(ms) => {
+                    ResponseOutcome::Throttled(ms) => {
                         record.throttled += 1;
                         let pause = if ms == 0 {
                             COMES_BACK
@@ -171,7 +171,7 @@
                         };
                         sleep(pause.min(ends.saturating_duration_since(Instant::now())));
                     }
-                    Judged::Failed => {
+                    ResponseOutcome::Failed => {
                         record.failed += 1;
                         return;
                     }
@@ -204,10 +204,10 @@
             let stream = TcpStream::connect_timeout(&self.to, TIMEOUT)?;
             stream.set_nodelay(true)?;
             self.stream = Some(stream);
-            self.hear(STARTUP, ends, heard)?;
+            self.hear(STARTUP_MESSAGE, ends, heard)?;
             heard.clear();
         }
-        self.hear(&query(text), ends, heard)
+        self.hear(&query_message(text), ends, heard)
     }
 
     fn hear(&mut self, says: &[u8], ends: Instant, heard: &mut Vec<u8>) -> io::Result<()> {
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/members.rs
@@ -12,12 +12,12 @@
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use leverpoint_membership::{MembershipConfig, Ticks};
-use leverpoint_test_support::client::{Judged, judged};
+use leverpoint_test_support::client::{ResponseOutcome, classify_response};
 use leverpoint_test_support::member::{PLAIN, serving};
 use leverpoint_test_support::relay::Trouble;
 use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::values::made;
-use leverpoint_test_support::wire::list;
+use leverpoint_test_support::values::expected_value;
+use leverpoint_test_support::wire::endpoint_list;
 use plotters::prelude::*;
 use serde::Serialize;
 
@@ -119,7 +119,7 @@
 }
 
 fn play(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let known = list(7, true, &[]);
+    let known = endpoint_list(7, true, &[]);
     let mut stage = Stage::new(
         program,
         build(PROCESSES, BEAT_MS, true, true, known, asked.seed),
@@ -228,7 +228,7 @@
 
 /// What a quiet fleet of so many costs a member, at the usual beat.
 fn cost(asked: &Asked, program: &Path, members: usize) -> Cost {
-    let known = list(7, true, &[]);
+    let known = endpoint_list(7, true, &[]);
     let mut stage = Stage::new(program, build(members, 500, false, true, known, asked.seed));
     stage.start_all();
     for p in 0..members {
@@ -297,7 +297,7 @@
             );
             let began = Instant::now();
             let heard = stage::ask(line, &text).ok_or("a connection ended")?;
-            if judged(&heard, &made(&id, 64)) != Judged::Answered {
+            if classify_response(&heard, &expected_value(&id, 64)) != ResponseOutcome::Answered {
                 return Err(format!("{id} was not answered"));
             }
             let _ = times[which].record(began.elapsed().as_micros() as u64);
--- a/crates/loadtest/src/price.rs
+++ b/crates/loadtest/src/price.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use leverpoint_test_support::client::Judged;
-use leverpoint_test_support::client::judged;
+use leverpoint_test_support::client::ResponseOutcome;
+use leverpoint_test_support::client::classify_response;
 use leverpoint_test_support::gateway::Gateway;
 use leverpoint_test_support::member::{Made, Set, serving};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
 
@@ -76,7 +76,10 @@
             line = None;
             continue;
         };
-        let answered = matches!(judged(&heard, &made(&id, 64)), Judged::Answered);
+        let answered = matches!(
+            classify_response(&heard, &expected_value(&id, 64)),
+            ResponseOutcome::Answered
+        );
         if let Some(row) = set.take_read(&id).filter(|_| answered && !write) {
             missing += usize::from(wrote.is_some_and(|wrote| row.at < wrote));
             rows.push((
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -12,11 +12,11 @@
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use leverpoint_cluster_model::set::Build;
-use leverpoint_test_support::client::Judged;
-use leverpoint_test_support::client::{judged, noticed};
+use leverpoint_test_support::client::ResponseOutcome;
+use leverpoint_test_support::client::{classify_response, notice_detail};
 use leverpoint_test_support::gateway::Gateway;
 use leverpoint_test_support::member::{PLAIN, Set, serving};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::values::expected_value;
 use serde::Serialize;
 
 use crate::stage::{self, PATIENCE};
@@ -115,11 +115,13 @@
                 thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            match judged(&heard, &made(&id, length)) {
-                Judged::Answered => return Some((heard, id)),
-                Judged::Wrong => self.record.figures.wrong += 1,
-                Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms.clamp(10, 300))),
-                Judged::Failed => thread::sleep(Duration::from_millis(20)),
+            match classify_response(&heard, &expected_value(&id, length)) {
+                ResponseOutcome::Answered => return Some((heard, id)),
+                ResponseOutcome::Wrong => self.record.figures.wrong += 1,
+                ResponseOutcome::Throttled(ms) => {
+                    thread::sleep(Duration::from_millis(ms.clamp(10, 300)))
+                }
+                ResponseOutcome::Failed => thread::sleep(Duration::from_millis(20)),
             }
         }
         None
@@ -170,7 +172,7 @@
         };
         // Killed outright: the guard's drop sends SIGKILL and waits for its end.
         self.gateways[writer] = None;
-        let token = noticed(&heard);
+        let token = notice_detail(&heard);
         self.read(1 - writer, &session, token.as_deref());
         self.start(writer);
         self.read(writer, &session, token.as_deref());
--- a/crates/loadtest/src/slow.rs
+++ b/crates/loadtest/src/slow.rs
@@ -8,12 +8,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use leverpoint_test_support::agent::agent;
+use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::crowd::{Asks, Crowd, Habit, Seen};
 use leverpoint_test_support::gateway::{self, Gateway};
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
 use leverpoint_test_support::pace::Pace;
-use leverpoint_test_support::wire::http;
+use leverpoint_test_support::wire::http_ok;
 
 use crate::honest::{Honest, Line};
 use crate::record::{Asked, Figures, Record};
@@ -48,7 +48,7 @@
 fn set_up(asked: &Asked) -> Result<Stage, String> {
     let program = stage::program(&asked.program)?;
     let (set, members, known) = serving(PLAIN, 3 + asked.tricklers, WORK);
-    let (agent, address) = (agent(), gateway::free_address());
+    let (agent, address) = (start_agent(), gateway::free_address());
     let text = gateway::config(&address, &agent.address, &known, SETTINGS)
         .replace(
             "\"memory_mb\":192",
@@ -67,7 +67,10 @@
     };
     std::fs::write(&operator, words).map_err(|e| e.to_string())?;
     let operator = operator.display().to_string();
-    agent.say.send(http(&known)).map_err(|e| e.to_string())?;
+    agent
+        .responses
+        .send(http_ok(&known))
+        .map_err(|e| e.to_string())?;
     let words: &[&str] = if asked.plain {
         &[]
     } else {
--- a/crates/loadtest/src/stage.rs
+++ b/crates/loadtest/src/stage.rs
@@ -7,9 +7,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use leverpoint_test_support::agent::agent;
+use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::gateway::{self, Gateway};
-use leverpoint_test_support::wire::{STARTUP, http, message, put, query};
+use leverpoint_test_support::wire::{
+    STARTUP_MESSAGE, http_ok, put_message, query_message, read_message,
+};
 
 /// How long a command of a session is waited for.
 pub(crate) const PATIENCE: Duration = Duration::from_millis(2_000);
@@ -45,8 +47,8 @@
 
 /// A gateway with this operator's file, at an address of its own: one before may still have its old one.
 pub(crate) fn start(operator: Option<&String>, program: &Path, known: &str) -> Gateway {
-    let agent = agent();
-    let _ = agent.say.send(http(known));
+    let agent = start_agent();
+    let _ = agent.responses.send(http_ok(known));
     let address = gateway::free_address();
     let text = gateway::config(&address, &agent.address, known, SETTINGS);
     let words = operator.map_or(Vec::new(), |file| vec!["--operator", file]);
@@ -72,18 +74,18 @@
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(PATIENCE * 2)).ok()?;
     stream.set_nodelay(true).ok()?;
-    stream.write_all(STARTUP).ok()?;
-    while message(&mut stream)?.0 != b'Z' {}
+    stream.write_all(STARTUP_MESSAGE).ok()?;
+    while read_message(&mut stream)?.0 != b'Z' {}
     Some(stream)
 }
 
 /// One answer, whole: its messages, up to ready.
 pub(crate) fn ask(stream: &mut TcpStream, text: &str) -> Option<Vec<u8>> {
-    stream.write_all(&query(text)).ok()?;
+    stream.write_all(&query_message(text)).ok()?;
     let mut heard = Vec::new();
     loop {
-        let (tag, body) = message(stream)?;
-        put(&mut heard, tag, &body);
+        let (tag, body) = read_message(stream)?;
+        put_message(&mut heard, tag, &body);
         if tag == b'Z' {
             return Some(heard);
         }
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use leverpoint_cluster_model::Ticks;
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::values::expected_value;
 
 /// A time limit on a network is so much longer than its letter.
 const SLACK: Ticks = 500;
@@ -150,7 +150,7 @@
             .iter()
             .any(|(.., outcome)| *outcome == Outcome::MayHave);
         let throttled = how == Final::Throttled && command.effects == Effects::Mutating && ran;
-        let wrong = how == Final::Answered && value != made(id, command.length);
+        let wrong = how == Final::Answered && value != expected_value(id, command.length);
         let unmade = how == Final::Answered && !ran;
         let missing = command
             .history
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -7,10 +7,10 @@
 
 use leverpoint_cluster_model::Ticks;
 use leverpoint_runtime::{Stream, sleep, sleep_until, timeout_at};
-use leverpoint_test_support::client::Judged;
-use leverpoint_test_support::client::{judged, noticed};
-use leverpoint_test_support::values::made;
-use leverpoint_test_support::wire::{STARTUP, put, query};
+use leverpoint_test_support::client::ResponseOutcome;
+use leverpoint_test_support::client::{classify_response, notice_detail};
+use leverpoint_test_support::values::expected_value;
+use leverpoint_test_support::wire::{STARTUP_MESSAGE, put_message, query_message};
 
 use crate::checker::{Effects, Final};
 use crate::course::{Facts, LATENCY, Play, address, facts};
@@ -71,7 +71,7 @@
                     gateway,
                     *life,
                 );
-                let bytes = query(&text);
+                let bytes = query_message(&text);
                 if line.say(&bytes).await.is_err() {
                     talk = None;
                     continue;
@@ -120,11 +120,11 @@
                 }
                 let life = *life;
                 let value = value_of(&heard);
-                let verdict = judged(&heard, &made(&id, length));
+                let verdict = classify_response(&heard, &expected_value(&id, length));
                 let how = match verdict {
-                    Judged::Answered | Judged::Wrong => Final::Answered,
-                    Judged::Throttled(_) => Final::Throttled,
-                    Judged::Failed => Final::Failed,
+                    ResponseOutcome::Answered | ResponseOutcome::Wrong => Final::Answered,
+                    ResponseOutcome::Throttled(_) => Final::Throttled,
+                    ResponseOutcome::Failed => Final::Failed,
                 };
                 self.sim.record(EventSource::Client, (n, how, &id), || {
                     format!("{n} hears {how:?} to {id}")
@@ -136,7 +136,7 @@
                     talk = None;
                 }
                 match verdict {
-                    Judged::Answered => {
+                    ResponseOutcome::Answered => {
                         let took = self.now() - began;
                         let worth = if took <= facts.target {
                             facts.benefit
@@ -144,7 +144,7 @@
                             facts.benefit * facts.late
                         };
                         self.benefit.set(self.benefit.get() + worth);
-                        if let Some(token) = noticed(&heard) {
+                        if let Some(token) = notice_detail(&heard) {
                             self.carried.borrow_mut().insert(n, token);
                         }
                         if matches!(ask.group, Group::Report | Group::Order) {
@@ -154,16 +154,16 @@
                         }
                         break;
                     }
-                    Judged::Throttled(ms) => {
+                    ResponseOutcome::Throttled(ms) => {
                         repeats += 1;
                         sleep(Duration::from_millis(ms.max(50))).await;
                     }
-                    Judged::Failed if facts.effects == Effects::Mutating => break,
-                    Judged::Failed => {
+                    ResponseOutcome::Failed if facts.effects == Effects::Mutating => break,
+                    ResponseOutcome::Failed => {
                         repeats += 1;
                         sleep(Duration::from_millis(100)).await;
                     }
-                    Judged::Wrong => break,
+                    ResponseOutcome::Wrong => break,
                 }
             }
         }
@@ -238,7 +238,7 @@
             .ok()?
             .ok()?;
         let mut talk = Talk::new(stream);
-        talk.say(STARTUP).await.ok()?;
+        talk.say(STARTUP_MESSAGE).await.ok()?;
         let admitted = timeout_at(until, async {
             loop {
                 match talk.message(usize::MAX).await {
@@ -260,7 +260,7 @@
         if at_a_time < 1_000 {
             sleep(Duration::from_millis(2)).await;
         }
-        put(heard, tag, &body);
+        put_message(heard, tag, &body);
         if tag == b'Z' {
             return Ok(());
         }
@@ -270,7 +270,7 @@
 /// The value of the row in an answer, empty where there is none.
 fn value_of(heard: &[u8]) -> Vec<u8> {
     let mut rest = heard;
-    while let Some((tag, body)) = leverpoint_test_support::wire::message(&mut rest) {
+    while let Some((tag, body)) = leverpoint_test_support::wire::read_message(&mut rest) {
         if tag == b'D' {
             let length = body
                 .get(2..6)
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -7,7 +7,7 @@
 use leverpoint_simulator::play::play;
 use leverpoint_simulator::scene;
 use leverpoint_simulator::script::{names, scenario};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::values::expected_value;
 
 #[test]
 fn every_scenario_keeps_every_rule_over_ten_seeds() {
@@ -149,7 +149,7 @@
         ("answered with what was made", |c| {
             c.came(5, "a", 0, 1);
             c.came_to(9, "a", 1, Outcome::MayHave, true);
-            c.answered(12, "a", Final::Answered, &made("a", 64));
+            c.answered(12, "a", Final::Answered, &expected_value("a", 64));
         }),
         ("answered twice", |c| {
             c.came(5, "a", 0, 1);
@@ -158,7 +158,7 @@
         }),
         ("another's value", |c| {
             c.came(5, "a", 0, 1);
-            c.answered(12, "a", Final::Answered, &made("k", 64));
+            c.answered(12, "a", Final::Answered, &expected_value("k", 64));
         }),
         ("never answered", |c| c.step(30_000)),
         ("mutating, twice", |c| {
--- a/crates/test-support/src/agent.rs
+++ b/crates/test-support/src/agent.rs
@@ -10,11 +10,11 @@
 /// An agent that answers each ask with the next thing it is told to; the asks can be read.
 pub struct Agent {
     pub address: String,
-    pub say: Sender<String>,
-    pub asked: Receiver<String>,
+    pub responses: Sender<String>,
+    pub requests: Receiver<String>,
 }
 
-pub fn agent() -> Agent {
+pub fn start_agent() -> Agent {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (say, words) = mpsc::channel::<String>();
@@ -45,7 +45,7 @@
     });
     Agent {
         address,
-        say,
-        asked,
+        responses: say,
+        requests: asked,
     }
 }
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-use crate::wire::{message, query};
+use crate::wire::{query_message, read_message};
 
 pub struct Client {
     pub stream: TcpStream,
@@ -17,10 +17,10 @@
     }
 
     /// What comes up to ReadyForQuery, or to the end, in one line.
-    pub fn answer(&mut self) -> String {
+    pub fn read_response(&mut self) -> String {
         let mut out = String::new();
         loop {
-            let Some((tag, body)) = message(&mut self.stream) else {
+            let Some((tag, body)) = read_message(&mut self.stream) else {
                 return out + "end";
             };
             let fields = || {
@@ -42,16 +42,16 @@
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> String {
-        self.send(&query(text));
-        self.answer()
+    pub fn run_statement(&mut self, text: &str) -> String {
+        self.send(&query_message(text));
+        self.read_response()
     }
 }
 
 /// The detail of the notice before an answer.
-pub fn noticed(heard: &[u8]) -> Option<String> {
+pub fn notice_detail(heard: &[u8]) -> Option<String> {
     let mut rest = heard;
-    while let Some((tag, body)) = message(&mut rest) {
+    while let Some((tag, body)) = read_message(&mut rest) {
         if tag == b'N' {
             let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&b'D'))?;
             return Some(String::from_utf8_lossy(&field[1..]).into_owned());
@@ -61,10 +61,10 @@
 }
 
 /// What an answer, from its first byte up to ReadyForQuery, is to the client that is owed this value.
-pub fn judged(heard: &[u8], owed: &[u8]) -> Judged {
+pub fn classify_response(heard: &[u8], owed: &[u8]) -> ResponseOutcome {
     let mut rest = heard;
     let mut value = None;
-    while let Some((tag, body)) = message(&mut rest) {
+    while let Some((tag, body)) = read_message(&mut rest) {
         match tag {
             b'D' => value = body.get(6..).map(<[u8]>::to_vec),
             b'E' => {
@@ -75,25 +75,25 @@
                         .and_then(|f| std::str::from_utf8(&f[1..]).ok())
                 };
                 return match field(b'C') {
-                    Some("53300" | "57P03") => {
-                        Judged::Throttled(field(b'D').and_then(|ms| ms.parse().ok()).unwrap_or(0))
-                    }
-                    _ => Judged::Failed,
+                    Some("53300" | "57P03") => ResponseOutcome::Throttled(
+                        field(b'D').and_then(|ms| ms.parse().ok()).unwrap_or(0),
+                    ),
+                    _ => ResponseOutcome::Failed,
                 };
             }
             _ => {}
         }
     }
     if value.as_deref() == Some(owed) {
-        Judged::Answered
+        ResponseOutcome::Answered
     } else {
-        Judged::Wrong
+        ResponseOutcome::Wrong
     }
 }
 
 /// What a whole answer is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Judged {
+pub enum ResponseOutcome {
     Answered,
     /// A row with a value that was not made for this command.
     Wrong,
--- a/crates/test-support/src/crowd.rs
+++ b/crates/test-support/src/crowd.rs
@@ -12,9 +12,9 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::client::{Judged, judged};
-use crate::values::made;
-use crate::wire::{STARTUP, query};
+use crate::client::{ResponseOutcome, classify_response};
+use crate::values::expected_value;
+use crate::wire::{STARTUP_MESSAGE, query_message};
 
 /// How one of them behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -173,7 +173,7 @@
 
     /// Commands one after the other on one connection, until it ends.
     fn talk(&mut self, stream: &mut TcpStream) -> io::Result<()> {
-        stream.write_all(STARTUP)?;
+        stream.write_all(STARTUP_MESSAGE)?;
         let mut admitted = Vec::new();
         let mut bytes = [0; 512];
         while !admitted.ends_with(b"Z\0\0\0\x05I") {
@@ -188,7 +188,7 @@
                 "SELECT v FROM records WHERE k = '{}-{}' /* id={id},c={},t={},d={wait},cluster={} */",
                 asks.length, self.name, asks.group, asks.tenant, asks.set
             );
-            let bytes = query(&text);
+            let bytes = query_message(&text);
             match self.habit {
                 Habit::HalfSays => {
                     stream.write_all(&bytes[..bytes.len() / 2])?;
@@ -282,14 +282,14 @@
     /// Counts an answer; after how long to come again, where it says so.
     fn judge(&self, id: &str, heard: &[u8]) -> Duration {
         let seen = &self.seen;
-        match judged(heard, &made(id, self.asks.length)) {
-            Judged::Answered => add(&seen.answered),
-            Judged::Wrong => add(&seen.wrong),
-            Judged::Throttled(ms) => {
+        match classify_response(heard, &expected_value(id, self.asks.length)) {
+            ResponseOutcome::Answered => add(&seen.answered),
+            ResponseOutcome::Wrong => add(&seen.wrong),
+            ResponseOutcome::Throttled(ms) => {
                 add(&seen.throttled);
                 return Duration::from_millis(ms);
             }
-            Judged::Failed => add(&seen.failed),
+            ResponseOutcome::Failed => add(&seen.failed),
         }
         Duration::ZERO
     }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::wire::{http, list};
+use crate::wire::{endpoint_list, http_ok};
 
 /// The next call of a watch continues it when it comes this soon after the last answer.
 const WATCH_CONTINUES: Duration = Duration::from_millis(200);
@@ -162,7 +162,7 @@
                     .ok();
             }
             let (revision, text) = self.answer(&call)?;
-            let written = stream.write_all(http(&text).as_bytes());
+            let written = stream.write_all(http_ok(&text).as_bytes());
             let mut state = self.state();
             let record = &mut state.callers[caller];
             record.last_answer = Some(Instant::now());
@@ -216,9 +216,12 @@
                 return None;
             }
             if waited.1.timed_out() {
-                return Some((since, list(since, false, &[])));
+                return Some((since, endpoint_list(since, false, &[])));
             }
         }
-        Some((state.revision, list(state.revision, true, &state.targets)))
+        Some((
+            state.revision,
+            endpoint_list(state.revision, true, &state.targets),
+        ))
     }
 }
--- a/crates/test-support/src/lease.rs
+++ b/crates/test-support/src/file_lease.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::wire::LONG;
+use crate::wire::WAIT_LIMIT;
 
-pub struct Lease {
+pub struct FileLease {
     file: File,
 }
 
@@ -20,27 +20,27 @@
     assert_eq!(set, 0, "{}", std::io::Error::last_os_error());
 }
 
-impl Lease {
+impl FileLease {
     /// On a file that nobody has open.
-    pub fn take(path: &Path) -> Lease {
+    pub fn acquire(path: &Path) -> FileLease {
         // SAFETY: no handler is installed; the signal that says that a lease is waited for is passed over.
         unsafe { libc::signal(libc::SIGIO, libc::SIG_IGN) };
         let file = File::options().read(true).write(true).open(path).unwrap();
         set(&file, libc::F_WRLCK);
-        Lease { file }
+        FileLease { file }
     }
 
     /// Waits until somebody wants to open the file.
-    pub fn waited_for(&self) {
+    pub fn wait_for_open(&self) {
         let began = Instant::now();
         // SAFETY: as above; the call only reads.
         while unsafe { libc::fcntl(self.file.as_raw_fd(), libc::F_GETLEASE) } == libc::F_WRLCK {
-            assert!(began.elapsed() < LONG, "nobody opens it");
+            assert!(began.elapsed() < WAIT_LIMIT, "nobody opens it");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    pub fn give_up(self) {
+    pub fn release(self) {
         set(&self.file, libc::F_UNLCK);
     }
 }
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::Instant;
 
-use crate::agent::{Agent, agent};
+use crate::agent::{Agent, start_agent};
 use crate::client::Client;
 use crate::server::Server;
-use crate::wire::{LONG, STARTUP, http, list, target, unix_ms};
+use crate::wire::{STARTUP_MESSAGE, WAIT_LIMIT, endpoint_list, http_ok, target, unix_ms};
 
 pub struct Gateway {
     pub child: Child,
@@ -85,14 +85,19 @@
     limits: (usize, usize),
     words: &[&str],
 ) -> Gateway {
-    let agent = agent();
+    let agent = start_agent();
     let targets: Vec<_> = servers
         .iter()
         .enumerate()
         .map(|(i, (address, mode))| target(&format!("s{i}"), address, "up", mode))
         .collect();
     let address = free_address();
-    let text = config(&address, &agent.address, &list(7, true, &targets), settings);
+    let text = config(
+        &address,
+        &agent.address,
+        &endpoint_list(7, true, &targets),
+        settings,
+    );
     let gateway = start(
         &text
             .replace("192,", &format!("{},", limits.0))
@@ -105,11 +110,11 @@
     // The first ask is answered with the list that is held already; what follows is the test's.
     gateway
         .agent
-        .say
-        .send(http(&list(7, true, &targets)))
+        .responses
+        .send(http_ok(&endpoint_list(7, true, &targets)))
         .unwrap();
-    gateway.agent.asked.recv_timeout(LONG).unwrap();
-    gateway.agent.asked.recv_timeout(LONG).unwrap();
+    gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
+    gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
     gateway
 }
 
@@ -183,7 +188,7 @@
 impl Gateway {
     pub fn logged(&self, what: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(LONG).unwrap_or_else(|end| {
+            let line = self.log.recv_timeout(WAIT_LIMIT).unwrap_or_else(|end| {
                 panic!(
                     "{what}: {end}; the program has said {:?}",
                     self.said.borrow()
@@ -227,7 +232,7 @@
             if counters.contains(&format!(" {what} ")) {
                 return;
             }
-            assert!(began.elapsed() < LONG, "{what}: {counters}");
+            assert!(began.elapsed() < WAIT_LIMIT, "{what}: {counters}");
         }
     }
 
@@ -258,15 +263,15 @@
     /// A connection that has said nothing yet.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream
     }
 
     pub fn client(&self) -> Client {
         let mut stream = self.connect();
-        stream.write_all(STARTUP).unwrap();
+        stream.write_all(STARTUP_MESSAGE).unwrap();
         let mut client = Client { stream };
-        client.answer();
+        client.read_response();
         client
     }
 }
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/member.rs
@@ -14,8 +14,11 @@
 use leverpoint_cluster_model::set::{Ask, Build, Health, Reply, Set as Model};
 
 use crate::pace::{Pace, write_paced};
-use crate::values::{length_of, made};
-use crate::wire::{READ, WRITTEN, list, message, put, row_of, target, unix_ms};
+use crate::values::{expected_value, value_length};
+use crate::wire::{
+    READ_TAG, WRITE_TAG, endpoint_list, put_message, read_message, row_messages_from_bytes, target,
+    unix_ms,
+};
 
 /// A set with no lag, no queue that binds and no cold start, whose keyed repeats are dropped for three seconds.
 pub const PLAIN: Build = Build {
@@ -244,7 +247,7 @@
     let mode = |m: &Member| if m.primary { "read-write" } else { "read-only" };
     let named = |(n, m): (usize, &Member)| target(&format!("s{n}"), &m.address, "up", mode(m));
     let targets: Vec<_> = members.iter().enumerate().map(named).collect();
-    (set, members, list(7, true, &targets))
+    (set, members, endpoint_list(7, true, &targets))
 }
 
 /// One name's value in a statement's comment.
@@ -269,7 +272,7 @@
     stream.read_exact(&mut rest).ok()?;
     stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").ok()?;
     loop {
-        let (_, body) = message(&mut stream)?;
+        let (_, body) = read_message(&mut stream)?;
         let text = std::str::from_utf8(&body).ok()?.trim_end_matches('\0');
         let id = named(text, "id")?;
         let patience = named(text, "d").and_then(|ms| ms.parse().ok()).unwrap_or(0);
@@ -291,10 +294,15 @@
 /// What a machine answers a statement with: the row made for it, or the error that turns it away.
 pub fn answer(reply: Reply, text: &str, id: &str) -> Vec<u8> {
     match reply {
-        Reply::Row if text.starts_with("INSERT") => row_of(&made(id, 64), WRITTEN),
-        Reply::Row => row_of(
-            &made(id, length_of(text.split('\'').nth(1).unwrap_or_default())),
-            READ,
+        Reply::Row if text.starts_with("INSERT") => {
+            row_messages_from_bytes(&expected_value(id, 64), WRITE_TAG)
+        }
+        Reply::Row => row_messages_from_bytes(
+            &expected_value(
+                id,
+                value_length(text.split('\'').nth(1).unwrap_or_default()),
+            ),
+            READ_TAG,
         ),
         refused => refusal(refused),
     }
@@ -304,11 +312,11 @@
 /// it is ready.
 pub fn word(out: &mut Vec<u8>, primary: bool, position: Option<f64>) {
     let mode = if primary { "read-write" } else { "read-only" };
-    put(out, b'S', format!("mode\0{mode}\0").as_bytes());
+    put_message(out, b'S', format!("mode\0{mode}\0").as_bytes());
     if let Some(position) = position {
-        put(out, b'S', format!("wal_time\0{position}\0").as_bytes());
+        put_message(out, b'S', format!("wal_time\0{position}\0").as_bytes());
     }
-    put(out, b'Z', b"I");
+    put_message(out, b'Z', b"I");
 }
 
 /// The error with which a machine turns a statement away.
@@ -319,7 +327,7 @@
         _ => "53300",
     };
     let mut out = Vec::new();
-    put(
+    put_message(
         &mut out,
         b'E',
         format!("SERROR\0C{code}\0Mno\0\0").as_bytes(),
--- a/crates/test-support/src/server.rs
+++ b/crates/test-support/src/server.rs
@@ -10,35 +10,37 @@
 use std::thread;
 
 use crate::pace::{Pace, write_paced};
-use crate::wire::{LONG, READ, WRITTEN, message, put, row, unix_ms};
+use crate::wire::{
+    READ_TAG, WAIT_LIMIT, WRITE_TAG, put_message, read_message, row_messages, unix_ms,
+};
 
 /// What a stand-in server does with a statement.
 #[derive(Clone)]
-pub enum Does {
+pub enum ServerAction {
     /// Answers with a row of this value, then says its role and position.
     Row(String),
     /// The same with these bytes right behind it.
-    More(String, Vec<u8>),
-    Code(&'static str),
+    RowThenBytes(String, Vec<u8>),
+    ErrorCode(&'static str),
     /// Says nothing more until the other side closes; then tells the test so.
-    Silence,
+    NoResponse,
     /// Ends the connection without a word.
-    Drop,
+    Disconnect,
     /// Sends these bytes, then ends the connection.
-    Bytes(Vec<u8>),
+    BytesThenDisconnect(Vec<u8>),
     /// A row, written at this pace.
-    Paced(String, Pace),
+    PacedRow(String, Pace),
     /// Waits for the test's word, then answers with a row.
-    Wait(Arc<Mutex<Receiver<()>>>, String),
+    RowOnSignal(Arc<Mutex<Receiver<()>>>, String),
 }
 
 /// A database server that does the next of what it was told for each statement, the last again and again.
 pub struct Server {
     pub address: String,
-    pub heard: Receiver<String>,
+    pub statements: Receiver<String>,
 }
 
-pub fn server(mode: &str, does: Vec<Does>) -> Server {
+pub fn start_server(mode: &str, does: Vec<ServerAction>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let (tell, heard) = mpsc::channel();
@@ -50,14 +52,17 @@
             thread::spawn(move || serve(stream.unwrap(), &mode, &tell, &does));
         }
     });
-    Server { address, heard }
+    Server {
+        address,
+        statements: heard,
+    }
 }
 
 fn serve(
     mut stream: TcpStream,
     mode: &str,
     tell: &Sender<String>,
-    does: &Mutex<VecDeque<Does>>,
+    does: &Mutex<VecDeque<ServerAction>>,
 ) -> Option<()> {
     let mut head = [0; 4];
     stream.read_exact(&mut head).ok()?;
@@ -65,12 +70,12 @@
     stream.read_exact(&mut rest).ok()?;
     if mode == "no more connections" {
         let mut out = Vec::new();
-        put(&mut out, b'E', b"SFATAL\0C53300\0Mno\0\0");
+        put_message(&mut out, b'E', b"SFATAL\0C53300\0Mno\0\0");
         return stream.write_all(&out).ok();
     }
     stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").ok()?;
     loop {
-        let (_, body) = message(&mut stream)?;
+        let (_, body) = read_message(&mut stream)?;
         tell.send(String::from_utf8_lossy(&body[..body.len() - 1]).into_owned())
             .ok()?;
         let next = {
@@ -84,47 +89,52 @@
         let (mut out, mut more) = (Vec::new(), Vec::new());
         let mut pace = Pace::Whole;
         let done = if body.starts_with(b"INSERT") {
-            WRITTEN
+            WRITE_TAG
         } else {
-            READ
+            READ_TAG
         };
         match next {
-            Does::Row(value) => out = row(&value, done),
-            Does::Paced(value, at) => (out, pace) = (row(&value, done), at),
-            Does::More(value, bytes) => (out, more) = (row(&value, done), bytes),
-            Does::Code(code) => put(
+            ServerAction::Row(value) => out = row_messages(&value, done),
+            ServerAction::PacedRow(value, at) => (out, pace) = (row_messages(&value, done), at),
+            ServerAction::RowThenBytes(value, bytes) => {
+                (out, more) = (row_messages(&value, done), bytes)
+            }
+            ServerAction::ErrorCode(code) => put_message(
                 &mut out,
                 b'E',
                 format!("SERROR\0C{code}\0Mno\0\0").as_bytes(),
             ),
-            Does::Silence => {
+            ServerAction::NoResponse => {
                 let _ = stream.read(&mut [0; 1]);
                 return tell.send("closed".into()).ok();
             }
-            Does::Drop => return None,
-            Does::Bytes(bytes) => return stream.write_all(&bytes).ok(),
-            Does::Wait(word, value) => {
+            ServerAction::Disconnect => return None,
+            ServerAction::BytesThenDisconnect(bytes) => return stream.write_all(&bytes).ok(),
+            ServerAction::RowOnSignal(word, value) => {
                 word.lock().unwrap().recv().ok()?;
-                out = row(&value, done);
+                out = row_messages(&value, done);
             }
         }
         let ends = out.len();
         // Role and position come behind the row, one at a time.
-        put(&mut out, b'S', format!("mode\0{mode}\0").as_bytes());
-        put(
+        put_message(&mut out, b'S', format!("mode\0{mode}\0").as_bytes());
+        put_message(
             &mut out,
             b'S',
             format!("wal_time\0{}\0", unix_ms()).as_bytes(),
         );
-        put(&mut out, b'Z', b"I");
+        put_message(&mut out, b'Z', b"I");
         out.extend(more);
         write_paced(&mut stream, &out, ends, pace).ok()?;
     }
 }
 
 /// The statement that a server heard, with the gateway's own wait left out.
-pub fn heard(server: &Server) -> String {
-    let text = server.heard.recv_timeout(LONG).expect("a statement");
+pub fn next_statement(server: &Server) -> String {
+    let text = server
+        .statements
+        .recv_timeout(WAIT_LIMIT)
+        .expect("a statement");
     let Some((front, back)) = text.split_once(",d=") else {
         return text;
     };
@@ -135,11 +145,14 @@
 }
 
 /// What waits for the test's word, and how to give it.
-pub fn waits(value: &str) -> (Sender<()>, Does) {
+pub fn row_on_signal(value: &str) -> (Sender<()>, ServerAction) {
     let (go, word) = mpsc::channel();
-    (go, Does::Wait(Arc::new(Mutex::new(word)), value.into()))
+    (
+        go,
+        ServerAction::RowOnSignal(Arc::new(Mutex::new(word)), value.into()),
+    )
 }
 
-pub fn rows(value: &str) -> Vec<Does> {
-    vec![Does::Row(value.into())]
+pub fn always_row(value: &str) -> Vec<ServerAction> {
+    vec![ServerAction::Row(value.into())]
 }
--- a/crates/test-support/src/stage.rs
+++ b/crates/test-support/src/stage.rs
@@ -13,10 +13,10 @@
 use fastrand::Rng;
 use serde_json::Value;
 
-use crate::agent::agent;
+use crate::agent::start_agent;
 use crate::gateway::{self, Gateway};
 use crate::relay::{Trouble, Way, relay};
-use crate::wire::{LONG, http};
+use crate::wire::{WAIT_LIMIT, http_ok};
 
 /// How the fleet is set up.
 #[derive(Clone, Debug)]
@@ -251,8 +251,8 @@
             *self.places[p].link.lock().unwrap() = free();
         }
         self.write(p);
-        let agent = agent();
-        let _ = agent.say.send(http(&self.build.known));
+        let agent = start_agent();
+        let _ = agent.responses.send(http_ok(&self.build.known));
         let address = gateway::free_address();
         let name = &self.places[p].name;
         let text = gateway::config(
@@ -398,7 +398,7 @@
             let gateway = place.gateway.as_ref()?;
             let line = gateway
                 .log
-                .recv_timeout(LONG.checked_sub(began.elapsed())?)
+                .recv_timeout(WAIT_LIMIT.checked_sub(began.elapsed())?)
                 .ok()?;
             place.word.take(&parsed(&line));
         }
@@ -442,7 +442,7 @@
         let gateway = self.gateway(p);
         let mut lines = Vec::new();
         let figure = loop {
-            let line = gateway.log.recv_timeout(LONG).expect("its counters");
+            let line = gateway.log.recv_timeout(WAIT_LIMIT).expect("its counters");
             let value = parsed(&line);
             if value["msg"] == head && value["all"].is_string() {
                 let all = value["all"].as_str().unwrap_or_default().to_owned();
@@ -493,7 +493,7 @@
                 return;
             }
             assert!(
-                began.elapsed() < LONG,
+                began.elapsed() < WAIT_LIMIT,
                 "{} has layouts {base} to {version}, whole {whole}, unseen {unseen}",
                 self.name(p)
             );
--- a/crates/test-support/src/values.rs
+++ b/crates/test-support/src/values.rs
@@ -3,7 +3,7 @@
 //! It must never accept a value that differs in a single byte.
 
 /// The value made for a command: its id, then noise that follows from it, `length` bytes in all.
-pub fn made(id: &str, length: usize) -> Vec<u8> {
+pub fn expected_value(id: &str, length: usize) -> Vec<u8> {
     let seed = id.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
     });
@@ -17,7 +17,7 @@
 }
 
 /// How long a read's value is to be stands in its key, in front of a dash.
-pub fn length_of(key: &str) -> usize {
+pub fn value_length(key: &str) -> usize {
     key.split('-')
         .next()
         .and_then(|digits| digits.parse().ok())
--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Far longer than anything here takes; a wait that reaches it has failed.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-pub const STARTUP: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
+pub const STARTUP_MESSAGE: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
 
-pub fn put(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
+pub fn put_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend(body);
@@ -24,31 +24,31 @@
         .as_millis()
 }
 
-pub fn row(value: &str, done: &str) -> Vec<u8> {
-    row_of(value.as_bytes(), done)
+pub fn row_messages(value: &str, done: &str) -> Vec<u8> {
+    row_messages_from_bytes(value.as_bytes(), done)
 }
 
 /// A row of one value, and what was done.
-pub fn row_of(value: &[u8], done: &str) -> Vec<u8> {
+pub fn row_messages_from_bytes(value: &[u8], done: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    put(
+    put_message(
         &mut out,
         b'T',
         b"\0\x01v\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01",
     );
-    put(
+    put_message(
         &mut out,
         b'D',
         &[&b"\0\x01"[..], &(value.len() as u32).to_be_bytes(), value].concat(),
     );
-    put(&mut out, b'C', format!("{done}\0").as_bytes());
+    put_message(&mut out, b'C', format!("{done}\0").as_bytes());
     out
 }
 
-pub const READ: &str = "SELECT 1";
-pub const WRITTEN: &str = "INSERT 0 1";
+pub const READ_TAG: &str = "SELECT 1";
+pub const WRITE_TAG: &str = "INSERT 0 1";
 
-pub fn message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
+pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     if let Err(e) = stream.read_exact(&mut head) {
         // A wait that came to nothing is no end of the connection.
@@ -63,7 +63,7 @@
     Some((head[0], body))
 }
 
-pub fn http(body: &str) -> String {
+pub fn http_ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -76,7 +76,7 @@
     )
 }
 
-pub fn list(rev: u32, all: bool, targets: &[String]) -> String {
+pub fn endpoint_list(rev: u32, all: bool, targets: &[String]) -> String {
     format!(
         r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
         targets.join(",")
@@ -88,7 +88,7 @@
     static IDS: Cell<u32> = const { Cell::new(0x9b) };
 }
 
-pub fn comment(group: &str) -> String {
+pub fn request_comment(group: &str) -> String {
     format!(
         "/* id={:x},c={group},t=acme,d=60000,k=5c,cluster=2 */",
         IDS.replace(IDS.get() + 1)
@@ -96,18 +96,21 @@
 }
 
 pub fn select(group: &str) -> String {
-    format!("SELECT v FROM records WHERE k = '7f3a' {}", comment(group))
+    format!(
+        "SELECT v FROM records WHERE k = '7f3a' {}",
+        request_comment(group)
+    )
 }
 
 pub fn insert(group: &str) -> String {
     format!(
         "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f') RETURNING v {}",
-        comment(group)
+        request_comment(group)
     )
 }
 
 /// How long the gateway waits, as a server hears it, in milliseconds.
-pub fn wait_of(statement: &str) -> u64 {
+pub fn deadline_ms(statement: &str) -> u64 {
     statement
         .split(",d=")
         .nth(1)
@@ -119,8 +122,8 @@
         .unwrap()
 }
 
-pub fn query(text: &str) -> Vec<u8> {
+pub fn query_message(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, b'Q', format!("{text}\0").as_bytes());
+    put_message(&mut out, b'Q', format!("{text}\0").as_bytes());
     out
 }
