--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -79,7 +79,7 @@
             .next_request()
             .send(&http_ok(&endpoint_list(8, true, &targets)));
         assert!(agent.next_request().line.contains("index=8&"));
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         assert_eq!(client.run_statement(""), "I Z");
         for set in sets {
             for text in [insert("report"), select("view")] {
@@ -88,7 +88,7 @@
             }
         }
         gateway.counters();
-        let tables = gateway.logged("event=\"tables\"");
+        let tables = gateway.wait_for_log("event=\"tables\"");
         assert!(
             tables.contains("(\\\"servers\\\", 1024), (\\\"places\\\", 1024)"),
             "{tables}"
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use leverpoint_cluster_model::set::Build as Machines;
-use leverpoint_test_support::gateway::begin;
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
+use leverpoint_test_support::gateway::spawn_process;
 use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
-use leverpoint_test_support::relay::Trouble;
-use leverpoint_test_support::stage::{Build, Stage};
+use leverpoint_test_support::relay::LinkFaults;
 use leverpoint_test_support::wire::{WAIT_LIMIT, endpoint_list, http_ok, target, unix_ms};
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -28,17 +28,17 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
-const CUT: Trouble = Trouble {
-    cut: true,
-    lose: 0.0,
-    double: 0.0,
+const CUT: LinkFaults = LinkFaults {
+    partitioned: true,
+    loss: 0.0,
+    duplication: 0.0,
     reorder: 0.0,
-    spoil: 0.0,
-    hold: Duration::ZERO,
+    corruption: 0.0,
+    delay: Duration::ZERO,
 };
 
 struct Fleet {
-    stage: Stage,
+    stage: GatewayFleet,
     set: Arc<Set>,
     members: Vec<Member>,
     ids: usize,
@@ -84,28 +84,28 @@
         3,
         Duration::from_millis(1),
     );
-    let build = Build {
+    let build = FleetConfig {
         processes: 5,
         founders: 3,
-        beat_ms: 100,
-        settles_ms: None,
+        heartbeat_ms: 100,
+        settle_ms: None,
         disk: true,
         zones: 2,
         members: true,
         relays: true,
         settings: SETTINGS.into(),
-        known,
-        more: format!(
+        known_list: known,
+        extra_hcl: format!(
             "sessions {{\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}}\n\
              copies {{\n  on = true\n  copies = {copies}\n  lease = \"{lease}\"\n  waits = \"{waits}\"\n  \
              starts = \"{starts}\"\n}}\n"
         ),
         seed: 11,
     };
-    let mut stage = Stage::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
+    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
     stage.start_all();
-    stage.meet(&[0, 1, 2, 3, 4], 3);
-    (0..5).for_each(|p| stage.settles(p));
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    (0..5).for_each(|p| stage.wait_until_settled(p));
     Fleet {
         stage,
         set,
@@ -116,7 +116,7 @@
 
 fn signal_all(processes: &[u32], signal: &str) {
     let ids = processes.iter().map(u32::to_string);
-    let sent = begin(Command::new("kill").arg(signal).args(ids)).wait();
+    let sent = spawn_process(Command::new("kill").arg(signal).args(ids)).wait();
     assert!(sent.unwrap().success());
 }
 
@@ -127,7 +127,7 @@
     }
 
     fn ask(&self, p: usize, text: &str) -> String {
-        self.stage.gateway(p).client().run_statement(text)
+        self.stage.gateway(p).connect_client().run_statement(text)
     }
 
     /// A report of a session; what its client hears.
@@ -178,7 +178,7 @@
     }
 
     fn counted(&mut self, p: usize, name: &str) -> u64 {
-        self.stage.counted_of(p, "copies", name)
+        self.stage.counter(p, "copies", name)
     }
 
     /// Waits until what a process counts has come to that.
@@ -198,7 +198,7 @@
     fn holds_other_records(&self, p: usize) {
         let began = Instant::now();
         loop {
-            let shown = self.stage.runs_words(p, &["copies", "--json"]);
+            let shown = self.stage.run_command(p, &["copies", "--json"]);
             let shown: serde_json::Value = serde_json::from_slice(&shown.stdout).unwrap();
             if shown["others"].as_u64() > Some(0) {
                 return;
@@ -231,12 +231,12 @@
         let (session, key) = (format!("s{round}"), format!("k{round}"));
         assert!(fleet.write(round, &session, &key, "").starts_with('T'));
         // Its client has just heard of it.
-        fleet.stage.burn(round);
+        fleet.stage.kill_and_erase(round);
         let (there, other) = ((round + 1) % 5, (round + 2) % 5);
         let exact = fleet.counted(there, "exact");
         fleet.sees(there, &session);
-        let shown =
-            String::from_utf8(fleet.stage.runs_words(there, &["copies", "--json"]).stdout).unwrap();
+        let shown = String::from_utf8(fleet.stage.run_command(there, &["copies", "--json"]).stdout)
+            .unwrap();
         assert_eq!(
             fleet.counted(there, "exact"),
             exact + 1,
@@ -250,8 +250,8 @@
         fleet.stage.start(round);
         fleet
             .stage
-            .meet(&[0, 1, 2, 3, 4], 3 + 2 * (round as u64 + 1));
-        (0..5).for_each(|p| fleet.stage.settles(p));
+            .wait_for_layout(&[0, 1, 2, 3, 4], 3 + 2 * (round as u64 + 1));
+        (0..5).for_each(|p| fleet.stage.wait_until_settled(p));
         // Who has come back empty gives no less.
         fleet.sees(round, &session);
     }
@@ -264,8 +264,8 @@
         for n in 0..8 {
             fleet.writes(n % 5, &format!("s{n}"), &format!("k{n}"));
         }
-        fleet.stage.burn(0);
-        fleet.stage.burn(3);
+        fleet.stage.kill_and_erase(0);
+        fleet.stage.kill_and_erase(3);
         for n in 0..8 {
             fleet.sees([1, 2, 4][n % 3], &format!("s{n}"));
         }
@@ -279,14 +279,16 @@
         // One burns while the others are under repair.
         fleet.stage.start(0);
         fleet.stage.start(3);
-        fleet.stage.until(0, "it is taken in", |word| word.admitted);
-        fleet.stage.burn(0);
+        fleet
+            .stage
+            .expect_state(0, "it is taken in", |word| word.admitted);
+        fleet.stage.kill_and_erase(0);
         for n in 0..8 {
             fleet.sees([1, 2, 4][n % 3], &format!("s{n}"));
         }
         fleet.stage.start(0);
-        fleet.stage.meet(&[0, 1, 2, 3, 4], 3);
-        (0..5).for_each(|p| fleet.stage.settles(p));
+        fleet.stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+        (0..5).for_each(|p| fleet.stage.wait_until_settled(p));
         for n in 0..8 {
             fleet.sees(n % 5, &format!("s{n}"));
         }
@@ -298,7 +300,7 @@
 fn a_partitioned_gateway_writes_without_a_quorum_once_all_others_miss_it() {
     let mut fleet = five(3);
     fleet.writes(0, "s", "k1");
-    fleet.stage.between(&[0], &[1, 2, 3, 4], CUT);
+    fleet.stage.set_faults_between(&[0], &[1, 2, 3, 4], CUT);
     // Until the others miss it it sends nothing of a write, and says when to come back.
     let began = Instant::now();
     let mut turned = 0;
@@ -326,7 +328,7 @@
     );
     assert!(fleet.write(0, "s", "k1", ",r=1").starts_with("E C"));
     assert_eq!(fleet.effects(), (0, runs));
-    fleet.stage.heal();
+    fleet.stage.clear_faults();
     fleet.until(2, "copies.floor", |floor| floor > 0);
     let began = Instant::now();
     loop {
@@ -335,18 +337,19 @@
         if fleet.counted(2, "exact") > exact {
             break;
         }
-        let shown =
-            |p| String::from_utf8(fleet.stage.runs_words(p, &["copies", "--json"]).stdout).unwrap();
+        let shown = |p| {
+            String::from_utf8(fleet.stage.run_command(p, &["copies", "--json"]).stdout).unwrap()
+        };
         assert!(began.elapsed() < WAIT_LIMIT, "{} {}", shown(0), shown(2));
     }
     // One holder alone is not reached from the asker: another is asked beside it.
     fleet.writes(1, "u", "k2");
-    fleet.stage.between(&[2], &[3], CUT);
+    fleet.stage.set_faults_between(&[2], &[3], CUT);
     for n in 0..6 {
         fleet.writes(2, &format!("v{n}"), &format!("v{n}"));
         fleet.sees(4, &format!("v{n}"));
     }
-    fleet.stage.heal();
+    fleet.stage.clear_faults();
     assert_eq!(fleet.effects().0, 0);
 }
 
@@ -355,12 +358,12 @@
     let mut fleet = five(3);
     fleet.writes(1, "s", "k1");
     fleet.stage.signal(4, "-STOP");
-    fleet.stage.burn(3);
+    fleet.stage.kill_and_erase(3);
     fleet.stage.start(3);
     for p in [0, 1, 2, 3] {
         fleet
             .stage
-            .until(p, "n3 with another memory", |word| word.layout >= 5);
+            .expect_state(p, "n3 with another memory", |word| word.layout >= 5);
     }
     fleet.writes(0, "s", "k2");
     fleet.sees(2, "s");
@@ -369,8 +372,8 @@
     fleet.sees(4, "s");
     fleet
         .stage
-        .until(4, "the newer layout", |word| word.layout >= 5);
-    (0..5).for_each(|p| fleet.stage.settles(p));
+        .expect_state(4, "the newer layout", |word| word.layout >= 5);
+    (0..5).for_each(|p| fleet.stage.wait_until_settled(p));
     fleet.sees(4, "s");
     assert_eq!(fleet.effects(), (0, 2));
 }
@@ -381,17 +384,17 @@
     for n in 0..6 {
         fleet.writes(n % 5, &format!("s{n}"), &format!("k{n}"));
     }
-    fleet.stage.end(2);
+    fleet.stage.shut_down(2);
     fleet.stage.start(2);
-    fleet.stage.meet(&[0, 1, 2, 3, 4], 3);
-    fleet.stage.settles(2);
-    let said = fleet.stage.gateway(2).said.borrow().join("\n");
+    fleet.stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    fleet.stage.wait_until_settled(2);
+    let said = fleet.stage.gateway(2).log_lines.borrow().join("\n");
     assert!(
         said.contains("replicated records recovered") && said.contains("\"whole\":true"),
         "{said}"
     );
     fleet.stage.kill(2);
-    let folder = fleet.stage.folder(2).join("copies");
+    let folder = fleet.stage.data_dir(2).join("copies");
     let mut flipped = 0;
     for file in std::fs::read_dir(&folder)
         .unwrap()
@@ -407,8 +410,8 @@
     }
     assert!(flipped > 0);
     fleet.stage.start(2);
-    fleet.stage.meet(&[0, 1, 2, 3, 4], 3);
-    let said = fleet.stage.gateway(2).said.borrow().join("\n");
+    fleet.stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    let said = fleet.stage.gateway(2).log_lines.borrow().join("\n");
     assert!(
         said.contains("replication log file truncated") && said.contains("\"whole\":false"),
         "{said}"
@@ -450,19 +453,28 @@
         fleet.stage.start(4);
         fleet.sees(4, "s");
         // Said before the first command is taken.
-        let roles = fleet.stage.gateway(4).logged("primary roles recovered");
-        let drains = fleet.stage.gateway(4).said.borrow().iter().any(|line| {
-            line.contains("draining endpoints recovered")
-                && line.contains("\"many\":1")
-                && line.contains("\"revision\":8")
-        });
+        let roles = fleet
+            .stage
+            .gateway(4)
+            .wait_for_log("primary roles recovered");
+        let drains = fleet
+            .stage
+            .gateway(4)
+            .log_lines
+            .borrow()
+            .iter()
+            .any(|line| {
+                line.contains("draining endpoints recovered")
+                    && line.contains("\"many\":1")
+                    && line.contains("\"revision\":8")
+            });
         if drains && roles.contains("\"many\":1") {
             break;
         }
         assert!(
             began.elapsed() < WAIT_LIMIT,
             "{}",
-            fleet.stage.gateway(4).said.borrow().join("\n")
+            fleet.stage.gateway(4).log_lines.borrow().join("\n")
         );
     }
 }
@@ -521,7 +533,7 @@
     for n in 0..10 {
         fleet.writes(n % 5, &format!("s{n}"), &format!("k{n}"));
     }
-    let shown = fleet.stage.runs_words(1, &["copies", "--json"]);
+    let shown = fleet.stage.run_command(1, &["copies", "--json"]);
     let shown: serde_json::Value = serde_json::from_slice(&shown.stdout).unwrap();
     assert!(
         shown["holds"] == true && shown["whole"] == true && shown["known"] == true,
@@ -533,7 +545,7 @@
         held("positions") >= 2 && held("keys") >= 2 && held("positions") <= 10,
         "{shown}"
     );
-    let table = String::from_utf8(fleet.stage.runs_words(1, &["copies"]).stdout).unwrap();
+    let table = String::from_utf8(fleet.stage.run_command(1, &["copies"]).stdout).unwrap();
     assert!(
         table.contains("held: positions") && table.contains("not accounted for"),
         "{table}"
@@ -541,7 +553,7 @@
     let began = Instant::now();
     loop {
         // What was sent on without waiting may still be on its way.
-        let verified = fleet.stage.runs_words(1, &["copies", "verify"]);
+        let verified = fleet.stage.run_command(1, &["copies", "verify"]);
         let text = String::from_utf8(verified.stdout).unwrap();
         assert!(
             text.starts_with("holder") && text.lines().count() == 5,
@@ -558,10 +570,10 @@
 fn beside_a_gateway_without_replication_reads_require_the_instant_and_writes_reach_their_quorum() {
     let mut fleet = five(3);
     // As a program that knows nothing of copies: the others ask it in vain, and never know what it has answered.
-    fleet.stage.end(4);
-    fleet.stage.older.push(4);
+    fleet.stage.shut_down(4);
+    fleet.stage.older_processes.push(4);
     fleet.stage.start(4);
-    fleet.stage.meet(&[0, 1, 2, 3, 4], 3);
+    fleet.stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
     fleet.until(0, "copies.unseen", |unseen| unseen == 1);
     for n in 0..6 {
         fleet.writes(n % 4, &format!("s{n}"), &format!("k{n}"));
@@ -570,13 +582,13 @@
         fleet.sees((n + 2) % 4, &format!("s{n}"));
     }
     assert!((0..4).all(|p| fleet.counted(p, "exact") == 0));
-    let asked = fleet.stage.runs_words(4, &["copies"]);
+    let asked = fleet.stage.run_command(4, &["copies"]);
     assert!(String::from_utf8_lossy(&asked.stderr).contains("nothing is copied here"));
     // Once it is of the others' kind they know again.
-    fleet.stage.end(4);
-    fleet.stage.older.clear();
+    fleet.stage.shut_down(4);
+    fleet.stage.older_processes.clear();
     fleet.stage.start(4);
-    (0..5).for_each(|p| fleet.stage.settles(p));
+    (0..5).for_each(|p| fleet.stage.wait_until_settled(p));
     fleet.sees(1, "s5");
     assert_eq!((fleet.counted(1, "exact"), fleet.effects().0), (1, 0));
 }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -8,7 +8,9 @@
 
 use leverpoint_test_support::agent::Agent;
 use leverpoint_test_support::discovery::{Capacity, Discovery};
-use leverpoint_test_support::gateway::{self as stands, Gateway, config, counted, free_address};
+use leverpoint_test_support::gateway::{
+    self as stands, Gateway, config, counter_value, free_address,
+};
 use leverpoint_test_support::manual::{ManualAgent, full_endpoint_list};
 use leverpoint_test_support::server::{always_row, start_server};
 use leverpoint_test_support::wire::{http_ok, insert, target};
@@ -89,7 +91,7 @@
     // Until a watch from that list on is opened: it has been taken.
     while !agent.next_request().line.contains("index=9") {}
     assert_eq!(
-        gateway.client().run_statement(&insert("order")),
+        gateway.connect_client().run_statement(&insert("order")),
         "T D stays C Z"
     );
     assert_eq!(drains.statements.try_iter().count(), 0);
@@ -157,7 +159,7 @@
     drains.statements.try_iter().for_each(drop);
     for gateway in &gateways {
         assert_eq!(
-            gateway.client().run_statement(&insert("order")),
+            gateway.connect_client().run_statement(&insert("order")),
             "T D stays C Z"
         );
     }
@@ -182,7 +184,7 @@
         &leverpoint_test_support::wire::endpoint_list(7, true, &targets),
         "on_request",
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     let refuses = Instant::now();
     discovery.refuse_all(true);
@@ -195,7 +197,7 @@
     let began = Instant::now();
     let answer = client.run_statement(&insert("order"));
     assert!(answer.starts_with("E C53300"), "{answer}");
-    gateway.logged("the list is too old to send by");
+    gateway.wait_for_log("the list is too old to send by");
     assert!(
         began.elapsed() < Duration::from_millis(500),
         "what is given up is answered at once"
@@ -203,10 +205,14 @@
     assert_eq!(one.statements.try_iter().count(), 0);
     // A list, and it serves again.
     gateway.signal("-USR1");
-    let state = gateway.logged("event=\"discovery\"");
-    assert_eq!(counted(&state, "list_ends_in_ms"), Some("0"), "{state}");
+    let state = gateway.wait_for_log("event=\"discovery\"");
+    assert_eq!(
+        counter_value(&state, "list_ends_in_ms"),
+        Some("0"),
+        "{state}"
+    );
     discovery.refuse_all(false);
-    gateway.logged("discovery answers again");
-    gateway.logged("the list holds again");
+    gateway.wait_for_log("discovery answers again");
+    gateway.wait_for_log("the list holds again");
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use leverpoint_test_support::relay::Trouble;
-use leverpoint_test_support::stage::{Build, KEY, Stage};
+use leverpoint_test_support::fleet::{FLEET_KEY, FleetConfig, GatewayFleet};
+use leverpoint_test_support::relay::LinkFaults;
 use leverpoint_test_support::wire::endpoint_list;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -18,77 +18,86 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
-const CUT: Trouble = Trouble {
-    cut: true,
-    lose: 0.0,
-    double: 0.0,
+const CUT: LinkFaults = LinkFaults {
+    partitioned: true,
+    loss: 0.0,
+    duplication: 0.0,
     reorder: 0.0,
-    spoil: 0.0,
-    hold: Duration::ZERO,
+    corruption: 0.0,
+    delay: Duration::ZERO,
 };
 
 /// Five that have met; the first three have founded the layout and the others were taken in.
-fn five() -> Stage {
+fn five() -> GatewayFleet {
     five_at(100)
 }
 
 /// With a beat of so many milliseconds: where a doubt in passing would be seen, one that a busy machine keeps.
-fn five_at(beat_ms: u64) -> Stage {
-    let build = Build {
+fn five_at(beat_ms: u64) -> GatewayFleet {
+    let build = FleetConfig {
         processes: 5,
         founders: 3,
-        beat_ms,
-        settles_ms: None,
+        heartbeat_ms: beat_ms,
+        settle_ms: None,
         disk: true,
         zones: 2,
         members: true,
         relays: true,
         settings: SETTINGS.into(),
-        known: endpoint_list(7, true, &[]),
-        more: String::new(),
+        known_list: endpoint_list(7, true, &[]),
+        extra_hcl: String::new(),
         seed: 11,
     };
-    let mut stage = Stage::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
+    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
     stage.start_all();
-    stage.meet(&[0, 1, 2, 3, 4], 3);
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
     stage
 }
 
-fn gone_for(stage: &mut Stage, who: &[usize], gone: usize) {
+fn gone_for(stage: &mut GatewayFleet, who: &[usize], gone: usize) {
     let name = stage.name(gone).to_owned();
     for p in who {
-        stage.until(*p, &format!("{name} gone"), |word| word.sees(&name, "gone"));
+        stage.expect_state(*p, &format!("{name} gone"), |word| {
+            word.has_status(&name, "gone")
+        });
     }
 }
 
 /// No layout forked, and nobody was believed who had ended.
-fn sound(stage: &mut Stage, who: &[usize]) {
+fn sound(stage: &mut GatewayFleet, who: &[usize]) {
     for p in who {
-        let forks = stage.counted(*p, "forks");
-        assert_eq!((forks, stage.word(*p).forks, stage.word(*p).old), (0, 0, 0));
+        let forks = stage.member_counter(*p, "forks");
+        assert_eq!(
+            (
+                forks,
+                stage.observed(*p).layout_conflicts,
+                stage.observed(*p).stale_statuses
+            ),
+            (0, 0, 0)
+        );
     }
 }
 
 #[test]
 fn a_killed_member_is_dead_for_all_and_returns_with_or_without_its_memory() {
     let mut stage = five();
-    let memory = stage.word(4).memory.clone();
+    let memory = stage.observed(4).memory.clone();
     stage.kill(4);
     gone_for(&mut stage, &[0, 1, 2, 3], 4);
     stage.start(4);
-    stage.meet(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.word(4).memory, memory);
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    assert_eq!(stage.observed(4).memory, memory);
     assert_eq!(
-        stage.word(0).layout,
+        stage.observed(0).layout,
         3,
         "with its folder it is the holder that it was"
     );
     // With its folder gone it is another one: the old holder is voted out, the new one in.
-    stage.burn(4);
+    stage.kill_and_erase(4);
     stage.start(4);
-    stage.meet(&[0, 1, 2, 3, 4], 5);
-    assert_ne!(stage.word(4).memory, memory);
-    assert_eq!(stage.word(4).holders, 5);
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
+    assert_ne!(stage.observed(4).memory, memory);
+    assert_eq!(stage.observed(4).holders, 5);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
 
@@ -98,22 +107,22 @@
     stage.signal(3, "-STOP");
     gone_for(&mut stage, &[0, 1, 2, 4], 3);
     stage.signal(3, "-CONT");
-    stage.meet(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.word(3).many("gone"), 0);
-    assert_eq!(stage.counted(3, "called_gone"), 0);
-    assert!(stage.counted(3, "stood_still") > 0);
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    assert_eq!(stage.observed(3).count_with_status("gone"), 0);
+    assert_eq!(stage.member_counter(3, "called_gone"), 0);
+    assert!(stage.member_counter(3, "stood_still") > 0);
     // As long as it is there a second process of its name is kept out; while it is stopped that one is taken in.
-    let twin = stage.start_twin(3);
-    stage.until(twin, "its name is taken", |word| word.taken);
-    assert!(!stage.word(twin).admitted && !stage.word(3).ended);
+    let twin = stage.start_duplicate(3);
+    stage.expect_state(twin, "its name is taken", |word| word.name_in_use);
+    assert!(!stage.observed(twin).admitted && !stage.observed(3).superseded);
     stage.signal(3, "-STOP");
-    stage.until(twin, "taken in", |word| word.admitted);
+    stage.expect_state(twin, "taken in", |word| word.admitted);
     stage.signal(3, "-CONT");
-    stage.until(3, "its end as a member", |word| word.ended);
-    let life = stage.word(twin).life;
+    stage.expect_state(3, "its end as a member", |word| word.superseded);
+    let life = stage.observed(twin).incarnation;
     for p in [0, 1, 2, 4] {
-        stage.until(p, "the second one alone", |word| {
-            word.seen["n3"] == (life, "here".into())
+        stage.expect_state(p, "the second one alone", |word| {
+            word.statuses["n3"] == (life, "here".into())
         });
     }
     sound(&mut stage, &[0, 1, 2, 4]);
@@ -123,69 +132,73 @@
 fn in_a_partition_the_larger_half_goes_on_and_in_a_one_way_partition_nobody_is_dead() {
     let mut stage = five();
     // One direction alone, and one pair alone: others vouch.
-    stage.way(0, 1).set(CUT);
-    stage.between(&[2], &[4], CUT);
-    let asked = [stage.counted(0, "heard"), stage.counted(2, "heard")];
+    stage.link(0, 1).set(CUT);
+    stage.set_faults_between(&[2], &[4], CUT);
+    let asked = [
+        stage.member_counter(0, "heard"),
+        stage.member_counter(2, "heard"),
+    ];
     // Long enough, in what they hear, for each to have been asked many times.
-    while stage.counted(0, "heard") < asked[0] + 120 || stage.counted(2, "heard") < asked[1] + 120 {
-    }
-    assert!((0..5).all(|p| stage.word(p).many("gone") == 0));
-    stage.heal();
-    stage.between(&[0, 1], &[2, 3, 4], CUT);
+    while stage.member_counter(0, "heard") < asked[0] + 120
+        || stage.member_counter(2, "heard") < asked[1] + 120
+    {}
+    assert!((0..5).all(|p| stage.observed(p).count_with_status("gone") == 0));
+    stage.clear_faults();
+    stage.set_faults_between(&[0, 1], &[2, 3, 4], CUT);
     gone_for(&mut stage, &[0, 1], 2);
     gone_for(&mut stage, &[2, 3, 4], 0);
     gone_for(&mut stage, &[2, 3, 4], 1);
     // An operator's word to the smaller side changes nothing, to the larger it does.
-    let asked = stage.asks(0, &["--remove", "n2"]);
+    let asked = stage.run_members_command(0, &["--remove", "n2"]);
     assert!(asked.status.success());
-    let asked = stage.asks(3, &["--remove", "n1"]);
+    let asked = stage.run_members_command(3, &["--remove", "n1"]);
     assert!(
         asked.status.success(),
         "{}",
         String::from_utf8_lossy(&asked.stderr)
     );
     for p in [2, 3, 4] {
-        stage.until(p, "a layout without n1", |word| {
+        stage.expect_state(p, "a layout without n1", |word| {
             word.layout == 4 && word.holders == 4
         });
     }
-    assert_eq!((stage.word(0).layout, stage.word(1).layout), (3, 3));
-    stage.heal();
+    assert_eq!((stage.observed(0).layout, stage.observed(1).layout), (3, 3));
+    stage.clear_faults();
     // Both sides meet, and who was voted out is taken in again.
-    stage.meet(&[0, 1, 2, 3, 4], 5);
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn lost_duplicated_late_reordered_and_corrupt_frames_change_nothing() {
     let mut stage = five();
-    let rough = Trouble {
-        lose: 0.2,
-        double: 0.3,
+    let rough = LinkFaults {
+        loss: 0.2,
+        duplication: 0.3,
         reorder: 0.2,
-        spoil: 0.05,
-        hold: Duration::from_millis(5),
-        cut: false,
+        corruption: 0.05,
+        delay: Duration::from_millis(5),
+        partitioned: false,
     };
-    stage.between(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], rough);
+    stage.set_faults_between(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], rough);
     while (0..5).any(|p| {
-        let all = ["link.replayed", "link.unsealed"].map(|name| stage.counted(p, name));
+        let all = ["link.replayed", "link.unsealed"].map(|name| stage.member_counter(p, name));
         all.contains(&0)
     }) {}
-    stage.heal();
-    stage.between(
+    stage.clear_faults();
+    stage.set_faults_between(
         &[0],
         &[1, 2, 3, 4],
-        Trouble {
-            hold: Duration::from_secs(2),
-            ..Trouble::default()
+        LinkFaults {
+            delay: Duration::from_secs(2),
+            ..LinkFaults::default()
         },
     );
-    stage.until(1, "n0 doubted", |word| {
-        word.sees("n0", "doubted") || word.sees("n0", "gone")
+    stage.expect_state(1, "n0 doubted", |word| {
+        word.has_status("n0", "doubted") || word.has_status("n0", "gone")
     });
-    stage.heal();
-    stage.meet(&[0, 1, 2, 3, 4], 3);
+    stage.clear_faults();
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
 
@@ -195,43 +208,43 @@
     let new = "8:ffeeddccbbaa99887766554433221100";
     // Behind the old one at all, then first at two of five, then at all, then alone.
     for (keys, who) in [
-        (format!("{KEY} {new}"), vec![0, 1, 2, 3, 4]),
-        (format!("{new} {KEY}"), vec![0, 1]),
-        (format!("{new} {KEY}"), vec![2, 3, 4]),
+        (format!("{FLEET_KEY} {new}"), vec![0, 1, 2, 3, 4]),
+        (format!("{new} {FLEET_KEY}"), vec![0, 1]),
+        (format!("{new} {FLEET_KEY}"), vec![2, 3, 4]),
         (new.to_owned(), vec![0, 1, 2, 3, 4]),
     ] {
         for p in who {
             stage.keys[p] = keys.clone();
-            stage.write(p);
+            stage.write_operator_file(p);
             stage.signal(p, "-HUP");
-            stage.gateway(p).logged("operator's file reloaded");
+            stage.gateway(p).wait_for_log("operator's file reloaded");
         }
-        let heard: Vec<u64> = (0..5).map(|p| stage.counted(p, "heard")).collect();
-        while (0..5).any(|p| stage.counted(p, "heard") < heard[p] + 10) {}
+        let heard: Vec<u64> = (0..5).map(|p| stage.member_counter(p, "heard")).collect();
+        while (0..5).any(|p| stage.member_counter(p, "heard") < heard[p] + 10) {}
     }
     for p in 0..5 {
         assert_eq!(
             (
-                stage.counted(p, "link.unsealed"),
-                stage.counted(p, "called_gone")
+                stage.member_counter(p, "link.unsealed"),
+                stage.member_counter(p, "called_gone")
             ),
             (0, 0)
         );
     }
     // Who has only the old key is heard by nobody, and sees the others go.
-    stage.keys[4] = KEY.into();
+    stage.keys[4] = FLEET_KEY.into();
     stage.kill(4);
     stage.start(4);
     gone_for(&mut stage, &[0, 1, 2, 3], 4);
-    assert!(!stage.word(4).admitted);
-    assert!((0..4).any(|p| stage.counted(p, "link.unsealed") > 0));
+    assert!(!stage.observed(4).admitted);
+    assert!((0..4).any(|p| stage.member_counter(p, "link.unsealed") > 0));
     // A faulty file changes nothing and names its key.
     stage.keys[0] = "nine".into();
-    stage.write(0);
+    stage.write_operator_file(0);
     stage.signal(0, "-HUP");
-    let said = stage.gateway(0).logged("operator's file rejected");
+    let said = stage.gateway(0).wait_for_log("operator's file rejected");
     assert!(said.contains("members.keys"), "{said}");
-    let asked = stage.asks(4, &["--at", "127.0.0.1:1"]);
+    let asked = stage.run_members_command(4, &["--at", "127.0.0.1:1"]);
     assert!(
         !asked.status.success()
             && String::from_utf8_lossy(&asked.stderr).contains("nobody answers there")
@@ -241,16 +254,16 @@
 #[test]
 fn members_prints_the_fleet_as_a_table_and_as_json() {
     let mut stage = five_at(600);
-    stage.end(2);
-    stage.until(0, "n2 left", |word| word.sees("n2", "left"));
-    let table = String::from_utf8(stage.asks(0, &[]).stdout).unwrap();
+    stage.shut_down(2);
+    stage.expect_state(0, "n2 left", |word| word.has_status("n2", "left"));
+    let table = String::from_utf8(stage.run_members_command(0, &[]).stdout).unwrap();
     assert!(
         table.starts_with("stand in, layout 3 with 5 holders"),
         "{table}"
     );
     assert_eq!(table.lines().count(), 7);
     let json: serde_json::Value =
-        serde_json::from_slice(&stage.asks(0, &["--json"]).stdout).unwrap();
+        serde_json::from_slice(&stage.run_members_command(0, &["--json"]).stdout).unwrap();
     let told: Vec<String> = json["members"]
         .as_array()
         .unwrap()
@@ -263,31 +276,31 @@
         })
         .collect();
     insta::assert_snapshot!(told.join("\n"));
-    let refused = stage.asks(0, &["--remove", "n1"]);
+    let refused = stage.run_members_command(0, &["--remove", "n1"]);
     assert!(String::from_utf8_lossy(&refused.stderr).contains("it is here: stop it first"));
 }
 
 #[test]
 fn without_a_members_block_nothing_listens_and_nothing_is_logged() {
-    let build = Build {
+    let build = FleetConfig {
         processes: 2,
         founders: 0,
-        beat_ms: 100,
-        settles_ms: None,
+        heartbeat_ms: 100,
+        settle_ms: None,
         disk: false,
         zones: 1,
         members: false,
         relays: false,
         settings: SETTINGS.into(),
-        known: endpoint_list(7, true, &[]),
-        more: String::new(),
+        known_list: endpoint_list(7, true, &[]),
+        extra_hcl: String::new(),
         seed: 3,
     };
-    let mut stage = Stage::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
+    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
     stage.start_all();
     for p in 0..2 {
         stage.signal(p, "-USR1");
-        stage.gateway(p).logged("\"peers\"");
+        stage.gateway(p).wait_for_log("\"peers\"");
         // Listening sockets of the machine, and which of them are this process's: its own address alone.
         let of = format!("/proc/{}", stage.gateway(p).child.id());
         let table = std::fs::read_to_string(format!("{of}/net/tcp")).unwrap();
@@ -309,7 +322,7 @@
         assert!(
             !stage
                 .gateway(p)
-                .said
+                .log_lines
                 .borrow()
                 .iter()
                 .any(|line| line.contains("\"member"))
--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -7,8 +7,8 @@
 
 use leverpoint_replication::ReplicationCounters;
 use leverpoint_replication::ReplicationStatus;
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::gateway::{config, output};
-use leverpoint_test_support::stage::{Build, Stage};
 use leverpoint_test_support::wire::endpoint_list;
 use serde_json::Value;
 
@@ -270,32 +270,32 @@
 
 #[test]
 fn members_and_copies_print_json_with_these_names() {
-    let build = Build {
+    let build = FleetConfig {
         processes: 3,
         founders: 3,
-        beat_ms: 100,
-        settles_ms: None,
+        heartbeat_ms: 100,
+        settle_ms: None,
         disk: true,
         zones: 1,
         members: true,
         relays: false,
         settings: SETTINGS.into(),
-        known: endpoint_list(7, true, &[]),
-        more: "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\ncopies {\n  on = true\n}\n"
+        known_list: endpoint_list(7, true, &[]),
+        extra_hcl: "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\ncopies {\n  on = true\n}\n"
             .into(),
         seed: 5,
     };
-    let mut stage = Stage::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
+    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
     stage.start_all();
-    stage.meet(&[0, 1, 2], 1);
-    stage.settles(0);
+    stage.wait_for_layout(&[0, 1, 2], 1);
+    stage.wait_until_settled(0);
     let mut lines = Vec::new();
     for words in [
         &["members", "--json"][..],
         &["copies", "--json"],
         &["copies", "verify", "--json"],
     ] {
-        let out = stage.runs_words(0, words).stdout;
+        let out = stage.run_command(0, words).stdout;
         let json: Value = serde_json::from_slice(&out).unwrap();
         lines.push(format!("{}: {}", words.join(" "), names(&json)));
     }
--- a/crates/gateway/tests/pipelined.rs
+++ b/crates/gateway/tests/pipelined.rs
@@ -44,14 +44,14 @@
 
 /// A gateway that has this list from the start, with so many descriptors.
 fn gateway(servers: &[(&str, &str)], timeout: u32, sockets: usize) -> Gateway {
-    stands::gateway_at(program(), servers, &settings(timeout), (192, sockets), &[])
+    stands::start_with_addresses(program(), servers, &settings(timeout), (192, sockets), &[])
 }
 
 #[test]
 fn a_pipelined_request_is_sent_with_the_rest_of_its_client_timeout() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 3_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     // Of another command group, of which nothing is known yet: it is waited for as long as its client does.
     client.send(
         &[
@@ -74,7 +74,7 @@
 fn a_pipelined_request_that_times_out_in_the_queue_is_answered_in_turn_and_never_sent() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 800, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(
         &[
             query_message(&insert("order")),
@@ -109,7 +109,7 @@
 fn bytes_held_back_behind_a_full_buffer_count_from_when_it_was_full() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 3_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     // More than is read ahead and than the system takes beside it, so that the client's own holds back the rest.
     let long = query_message(&format!("VACUUM {}", "a".repeat(120_000)));
     let all = [
@@ -141,12 +141,14 @@
     for (stands, left) in [(Duration::from_millis(900), true), (Duration::ZERO, false)] {
         let primary = start_server("read-write", always_row(&"ab".repeat(1_000)));
         let gateway = gateway(&[(&primary.address, "read-write")], 1_000, 1024);
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         let whole = "T D of 2000 bytes C Z";
         // It proves itself first, so that it is not sent back for what it has not taken.
         let proven = || {
             gateway.signal("-USR1");
-            gateway.logged("event=\"peers\"").contains("peers.usual=1 ")
+            gateway
+                .wait_for_log("event=\"peers\"")
+                .contains("peers.usual=1 ")
         };
         while !proven() {
             assert_eq!(client.run_statement(&insert("order")), whole);
@@ -221,7 +223,7 @@
     let text = config(&address, &agent.address, "null", &settings(3_000));
     let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
     let mut ask = agent.next_request();
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&[query_message(""), query_message(&insert("order"))].concat());
     thread::sleep(Duration::from_millis(400));
     ask.send(&http_ok(&full_endpoint_list(
@@ -240,12 +242,12 @@
     let primary = start_server("read-write", vec![waits]);
     // Nine descriptors for connections: four for clients, as many for servers, one for what is sent back.
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 25);
-    let mut busy: Vec<_> = (0..4).map(|_| gateway.client()).collect();
+    let mut busy: Vec<_> = (0..4).map(|_| gateway.connect_client()).collect();
     for client in &mut busy {
         client.send(&query_message(&insert("report")));
         next_statement(&primary);
     }
-    let mut fifth = gateway.client();
+    let mut fifth = gateway.connect_client();
     let row = [
         query_message(&insert("report")),
         query_message(""),
@@ -267,7 +269,7 @@
 fn pipelined_requests_behind_a_hung_one_are_answered_before_shutdown() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
     let mut gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let row: Vec<u8> = (0..200)
         .flat_map(|_| query_message(&insert("order")))
         .collect();
@@ -298,7 +300,7 @@
 fn a_pipelined_request_that_shutdown_leaves_no_time_for_is_shed_and_never_sent() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
     let mut gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&[(); 3].map(|()| query_message(&insert("order"))).concat());
     next_statement(&primary);
     // The attempt of the first is given up after 3.5 s, the open requests 3.45 s after the signal.
@@ -322,7 +324,7 @@
     let (go, waits) = row_on_signal("one");
     let primary = start_server("read-write", vec![waits, ServerAction::Row("two".into())]);
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let [first, second, behind] = [(); 3].map(|()| query_message(&insert("order")));
     let unknown = query_message(&insert("order").replace("c=order", "c=none"));
     client.send(&[first, unknown, second, b"?\0\0\0\x04".to_vec(), behind].concat());
@@ -339,7 +341,7 @@
     assert_eq!(primary.statements.try_iter().count(), 0);
     // Nobody else is harmed.
     assert_eq!(
-        gateway.client().run_statement(&insert("order")),
+        gateway.connect_client().run_statement(&insert("order")),
         "T D two C Z"
     );
 }
@@ -355,7 +357,7 @@
             .collect(),
     );
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let much = vec![b'?'; 1 << 20];
     let mut writer = client.stream.try_clone().unwrap();
     let row = [
@@ -366,7 +368,7 @@
     .concat();
     // It may be told of the end before it has said all.
     let sent = thread::spawn(move || drop(writer.write_all(&row)));
-    gateway.until_counted("bad_messages=1");
+    gateway.wait_for_counter("bad_messages=1");
     thread::sleep(2 * Duration::from_millis(400));
     assert_eq!(client.read_response(), "T D of 65536 bytes C Z");
     assert_eq!(client.read_response(), "T D of 53248 bytes C Z");
@@ -377,7 +379,7 @@
 #[test]
 fn with_the_read_ahead_exhausted_a_disconnect_is_seen_and_nothing_stalls() {
     let primary = ManualServer::new();
-    let gateway = stands::gateway_at(
+    let gateway = stands::start_with_addresses(
         program(),
         &[(&primary.address, "read-write")],
         &settings(60_000),
@@ -390,18 +392,18 @@
             .collect()
     };
     // Some that use it up, whose first command hangs, and one more that goes.
-    let mut many: Vec<_> = (0..3).map(|_| gateway.client()).collect();
+    let mut many: Vec<_> = (0..3).map(|_| gateway.connect_client()).collect();
     let mut talks = Vec::new();
     for client in &mut many {
         client.send(&row());
         talks.push(primary.accept_ready());
     }
-    let mut goes = gateway.client();
+    let mut goes = gateway.connect_client();
     // More than a ring takes by itself; what stands in its own system can't be known of.
     goes.send(&row()[..8_000]);
     talks.push(primary.accept_ready());
     drop(goes);
-    gateway.until_counted("gone=1");
+    gateway.wait_for_counter("gone=1");
     // Whoever is first answered goes on.
     let statement = talks[0].answer_next("one", "read-write");
     assert_eq!(many[0].read_response(), "T D one C Z", "{statement}");
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -58,7 +58,7 @@
 
 /// A gateway that has this list from the start, and follows a stand-in that says only what it is told to.
 fn gateway(servers: &[(&str, &str)], settings: &str) -> Gateway {
-    stands::gateway_at(program(), servers, settings, (192, 1024), &[])
+    stands::start_with_addresses(program(), servers, settings, (192, 1024), &[])
 }
 
 /// A gateway before an agent whose each byte the test gives.
@@ -175,7 +175,7 @@
             .starts_with("GET /api/targets?index=8&")
     );
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D two C Z"
     );
 }
@@ -224,7 +224,7 @@
     whole.reset();
     let mut again = agent.next_request();
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D one C Z"
     );
     assert!(
@@ -239,7 +239,7 @@
     again.shut_down_write();
     let watch = watch_from(&agent, 8);
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D two C Z"
     );
     // A watch's answer likewise, cut by a reset: the list stands, the whole one is asked for.
@@ -254,7 +254,7 @@
             .starts_with("GET /api/targets HTTP")
     );
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D two C Z"
     );
 }
@@ -275,16 +275,16 @@
     watch.send(&late[..late.len() - 20]);
     let elsewhere = ManualAgent::new();
     std::fs::write(
-        &gateway.file,
+        &gateway.config_path,
         config(&gateway.address, &elsewhere.address, "null", &usual()),
     )
     .unwrap();
     gateway.signal("-HUP");
-    gateway.logged("configuration reloaded");
+    gateway.wait_for_log("configuration reloaded");
     let mut first = elsewhere.next_request();
     watch.send(&late[late.len() - 20..]);
     assert!(first.line.starts_with("GET /api/targets HTTP"));
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("report")), "T D one C Z");
     first.send(&http_ok(&full_endpoint_list(
         2,
@@ -348,7 +348,7 @@
         &usual(),
     );
     let _silent = agent.next_request();
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(
         (
             client.run_statement(""),
@@ -362,7 +362,7 @@
 fn the_disconnect_of_a_pipelining_client_is_seen_while_its_request_waits() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], &patient());
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     // Far more than a ring takes, all of it whole commands, behind one whose connection hangs.
     let many: Vec<u8> = (0..400)
         .flat_map(|_| query_message(&insert("report")))
@@ -370,7 +370,7 @@
     client.send(&many);
     let talk = primary.accept();
     drop(client);
-    gateway.until_counted("gone=1");
+    gateway.wait_for_counter("gone=1");
     hears_nothing(talk);
     assert!(
         !primary.connects_within(SHOWS),
@@ -383,7 +383,7 @@
 fn requests_behind_one_whose_client_disconnected_are_never_sent() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(
         &[
             query_message(&insert("report")),
@@ -394,11 +394,11 @@
     let mut talk = primary.accept_ready();
     talk.read_statement().unwrap();
     // Its answer and its client's end both stand in the system as the program goes on.
-    gateway.stop();
+    gateway.pause();
     talk.respond("INSERT", "late", "read-write");
     drop(client);
     gateway.signal("-CONT");
-    gateway.until_counted("clients.closed=1");
+    gateway.wait_for_counter("clients.closed=1");
     assert_eq!(
         next_read_within_shows(&mut talk.stream),
         ErrorKind::WouldBlock,
@@ -421,7 +421,7 @@
         } else {
             drop(client);
         }
-        gateway.until_counted("gone=1");
+        gateway.wait_for_counter("gone=1");
         hears_nothing(talk);
         assert!(gateway.counters().contains("ended.NotSent=1 "));
     }
@@ -467,14 +467,14 @@
     trace += &format!("another's: {}\n", other.run_statement(&insert("report")));
     go.send(()).unwrap();
     drop(one);
-    gateway.until_counted("clients.closed=7");
+    gateway.wait_for_counter("clients.closed=7");
     cancel(&gateway, key);
     trace += &format!(
         "after the key's connection: {}\n",
         other.run_statement(&insert("report"))
     );
     drop(other);
-    trace += &gateway.end(&["taken.report", "answered", "gone"]);
+    trace += &gateway.shut_down(&["taken.report", "answered", "gone"]);
     insta::assert_snapshot!(trace);
 }
 
@@ -488,7 +488,7 @@
     let mut late = gateway.connect();
     let packet = [&b"\0\0\0\x10\x04\xd2\x16\x2e"[..], &key].concat();
     late.write_all(&packet[..15]).unwrap();
-    gateway.until_counted("clients.opened=2");
+    gateway.wait_for_counter("clients.opened=2");
     thread::sleep(SHOWS);
     assert_eq!(client.run_statement(&insert("report")), "T D first C Z");
     next_statement(&primary);
@@ -510,7 +510,7 @@
         ],
         &patient(),
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
     let mut hangs = drains.accept();
     let changes = [
@@ -545,7 +545,7 @@
         &[(&primary.address, "read-write")],
         &settings(10_000, 1_000, 60_000),
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let began = Instant::now();
     client.send(&query_message(&insert("report")));
     let mut first = primary.accept_ready();
@@ -565,7 +565,7 @@
     let primary = ManualServer::new();
     let near = settings(10_000, 30_000, 5_000).replace("30000.0", "2000.0");
     let gateway = gateway(&[(&primary.address, "read-write")], &near);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
     let mut talk = primary.accept();
     thread::sleep(SHOWS);
@@ -587,7 +587,7 @@
     let primary = ManualServer::new();
     let near = settings(10_000, 3_000, 800).replace("30000.0", "400.0");
     let gateway = gateway(&[(&primary.address, "read-write")], &near);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
     let talk = primary.accept();
     // Nothing was sent: it may come again.
@@ -616,7 +616,7 @@
             again.line
         );
         assert_eq!(
-            gateway.client().run_statement(&insert("report")),
+            gateway.connect_client().run_statement(&insert("report")),
             "T D one C Z"
         );
         says.join().unwrap();
@@ -636,7 +636,7 @@
         ],
         &usual(),
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     // By chance the one or the other is asked first: each read is answered all the same.
     for _ in 0..12 {
         assert_eq!(client.run_statement(&select("view")), "T D answers C Z");
@@ -651,13 +651,13 @@
     for closed in [false, true] {
         let primary = ManualServer::new();
         let gateway = gateway(&[(&primary.address, "read-write")], &usual());
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         client.send(&query_message(&insert("order")));
         let mut talk = primary.accept_ready();
         talk.answer_next("first", "read-write");
         assert_eq!(client.read_response(), "T D first C Z");
         // Both stand in the system as the program goes on: the client's command and what the server did.
-        gateway.stop();
+        gateway.pause();
         client.send(&query_message(&insert("order")));
         if closed {
             talk.stream.shutdown(Shutdown::Both).unwrap();
@@ -685,7 +685,7 @@
             &[(&primary.address, "read-write")],
             &settings(250, 30_000, 60_000),
         );
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         client.send(&query_message(&long(group)));
         let mut cut = primary.accept_ready();
         // Its first bytes are there, and no more are read.
@@ -703,7 +703,7 @@
         trace += &format!("{group}: {} ", client.read_response());
         trace += &format!(
             "{}\n",
-            gateway.end(&["ended.NotConnected", "ended.Reset", "ended.Answered"])
+            gateway.shut_down(&["ended.NotConnected", "ended.Reset", "ended.Answered"])
         );
     }
     insta::assert_snapshot!(trace);
@@ -741,11 +741,11 @@
         );
         trace += &format!(
             "{name}: {} ",
-            gateway.client().run_statement(&insert("order"))
+            gateway.connect_client().run_statement(&insert("order"))
         );
         trace += &format!(
             "{}\n",
-            gateway.end(&["ended.Missed", "ended.Full", "ended.Error", "ended.Reset"])
+            gateway.shut_down(&["ended.Missed", "ended.Full", "ended.Error", "ended.Reset"])
         );
     }
     insta::assert_snapshot!(trace);
@@ -763,7 +763,7 @@
         ],
         &near,
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&select("view")));
     let mut talk = endless.accept_ready();
     talk.read_statement().unwrap();
@@ -773,7 +773,7 @@
     // Until the gateway has closed.
     let says = thread::spawn(move || while says.write_all(&words).is_ok() {});
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D fine C Z"
     );
     assert_eq!(client.read_response(), "T D fine C Z");
@@ -785,7 +785,7 @@
 fn floods_of_disconnecting_clients_leave_nothing_behind() {
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], &patient());
-    let mut honest = gateway.client();
+    let mut honest = gateway.connect_client();
     for nth in 1..=200 {
         let mut stream = gateway.connect();
         stream
@@ -796,7 +796,7 @@
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
-    gateway.until_counted("clients.closed=200");
+    gateway.wait_for_counter("clients.closed=200");
     // Whatever was begun for them has been let go without a statement.
     let mut begun = 0;
     honest.send(&query_message(&insert("report")));
@@ -813,11 +813,11 @@
     }
     assert_eq!(honest.read_response(), "T D honest C Z");
     let gone = gateway.counters();
-    assert_eq!(stands::counted(&gone, "failed"), Some("0"));
+    assert_eq!(stands::counter_value(&gone, "failed"), Some("0"));
     drop(honest);
-    gateway.until_counted("clients.closed=201");
+    gateway.wait_for_counter("clients.closed=201");
     gateway.signal("-USR1");
-    let tables = gateway.logged("event=\"tables\"");
+    let tables = gateway.wait_for_log("event=\"tables\"");
     assert!(
         tables.contains("\\\"open_ids\\\", 0") && tables.contains("cancel_keys=\"0\""),
         "{tables}"
@@ -834,7 +834,7 @@
     std::fs::write(&file, config(&address, &agent.address, &known, &usual())).unwrap();
     // Whoever opens the file waits until the lease on it is given up.
     let lease = leverpoint_test_support::file_lease::FileLease::acquire(&file);
-    let mut child = stands::begin(
+    let mut child = stands::spawn_process(
         Command::new(program())
             .arg("serve")
             .env("NODE_CONFIG", &file)
@@ -869,18 +869,18 @@
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_left_unread() {
     let primary = start_server("read-write", always_row("one"));
     let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let mut rests = gateway.client();
+    let mut rests = gateway.connect_client();
     assert_eq!(rests.run_statement(&insert("report")), "T D one C Z");
     gateway.signal("-TERM");
     // The gateway has said that nothing more comes.
     assert_eq!(rests.read_response(), "end");
     rests.send(&query_message(&insert("report")));
-    let line = gateway.logged("event=\"counters\"");
+    let line = gateway.wait_for_log("event=\"counters\"");
     assert!(gateway.child.wait().unwrap().success());
     // A close over what nobody has read is a reset; had it been read, there would be none.
     let told = rests.stream.take_error().unwrap().map(|e| e.kind());
     assert_eq!(told, Some(ErrorKind::BrokenPipe));
-    assert_eq!(stands::counted(&line, "taken.report"), Some("1"));
+    assert_eq!(stands::counter_value(&line, "taken.report"), Some("1"));
 }
 
 #[test]
@@ -888,11 +888,11 @@
     let primary = start_server("read-write", always_row("one"));
     let near = usual().replace("30000.0", "800.0");
     let mut gateway = gateway(&[(&primary.address, "read-write")], &near);
-    let mut rest: Vec<_> = (0..8).map(|_| gateway.client()).collect();
+    let mut rest: Vec<_> = (0..8).map(|_| gateway.connect_client()).collect();
     gateway.signal("-TERM");
-    gateway.logged("event=\"ending\"");
+    gateway.wait_for_log("event=\"ending\"");
     // Stopped before it ends them; as it goes on its time is over and a command stands on each.
-    gateway.stop();
+    gateway.pause();
     rest.iter_mut()
         .for_each(|client| client.send(&query_message(&insert("report"))));
     // And one that nobody has accepted yet.
@@ -908,7 +908,7 @@
     late.read_response();
     assert_eq!(late.read_response(), "T D one C Z");
     drop((rest, late));
-    gateway.logged("event=\"ended\"");
+    gateway.wait_for_log("event=\"ended\"");
     assert!(gateway.child.wait().unwrap().success());
 }
 
@@ -917,10 +917,10 @@
     let value = "ab".repeat(32 << 10);
     let primary = start_server("read-write", always_row(&value));
     let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
     next_statement(&primary);
-    gateway.until_counted("answered=1");
+    gateway.wait_for_counter("answered=1");
     gateway.signal("-TERM");
     assert!(gateway.child.wait().unwrap().success());
     assert_eq!(client.read_response(), "T D of 65536 bytes C Z");
@@ -930,7 +930,7 @@
 fn with_hung_servers_each_client_is_answered_and_shutdown_is_in_time() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
     let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let (mut order, mut view) = (gateway.client(), gateway.client());
+    let (mut order, mut view) = (gateway.connect_client(), gateway.connect_client());
     order.send(&query_message(&insert("order")));
     view.send(&query_message(&select("view")));
     next_statement(&primary);
@@ -992,15 +992,15 @@
     held.next_request().send(&http_ok(&known));
     assert!(held.next_request().line.contains("index=7"));
     // A new front finds it ready and a new client is served, though all those are still there.
-    let mut fresh = gateway.client();
+    let mut fresh = gateway.connect_client();
     assert_eq!(fresh.run_statement(""), "I Z");
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D served C Z"
     );
     assert!(
         !gateway
-            .said
+            .log_lines
             .borrow()
             .iter()
             .any(|line| line.contains("accepting failed"))
@@ -1015,7 +1015,7 @@
         &[(&one.address, "read-write"), (&two.address, "read-only")],
         &usual(),
     );
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
     let mut talk = one.accept_ready();
     let statement = talk.read_statement().unwrap();
@@ -1051,7 +1051,7 @@
         ],
     );
     let gateway = gateway(&[(&primary.address, "read-only")], &usual());
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&select("view")), "T D last C Z");
     assert_eq!(client.run_statement(&select("view")), "T D more C Z");
 }
@@ -1069,14 +1069,17 @@
         (&*replica.address, "read-only"),
     ];
     let gateway = gateway(&servers, &unchecked);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
     let mut talk = primary.accept_ready();
     talk.answer_next("first", "read-write");
     assert_eq!(client.read_response(), "T D first C Z");
     // Another session's read shows that the replica has the first write.
     let elsewhere = select("view").replace("7f3a", "8e4b");
-    assert_eq!(gateway.client().run_statement(&elsewhere), "T D old C Z");
+    assert_eq!(
+        gateway.connect_client().run_statement(&elsewhere),
+        "T D old C Z"
+    );
     next_statement(&replica);
     // The row is here, what the server says of itself behind it is not.
     client.send(&query_message(&insert("order")));
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -72,11 +72,15 @@
     let (set, _members, known) = set();
     let follows = file("follow.hcl", "sessions {\n  follow = true\n}\n");
     let (one, other) = (start(&known, &follows), start(&known, &follows));
-    assert!(one.client().run_statement(&write("w1")).starts_with('T'));
+    assert!(
+        one.connect_client()
+            .run_statement(&write("w1"))
+            .starts_with('T')
+    );
     drop(one);
     assert!(
         other
-            .client()
+            .connect_client()
             .run_statement(&read("r1", ""))
             .starts_with('T')
     );
@@ -85,13 +89,13 @@
     let again = start(&known, &follows);
     assert!(
         again
-            .client()
+            .connect_client()
             .run_statement(&read("r2", ""))
             .starts_with('T')
     );
     assert!(set.take_read("r2").unwrap().at >= set.wrote("64-p").unwrap());
     assert_eq!(
-        other.end(&["answered", "failed", "throttled"]),
+        other.shut_down(&["answered", "failed", "throttled"]),
         "answered=1 failed=0 throttled=0 "
     );
     std::fs::remove_file(follows).unwrap();
@@ -108,10 +112,14 @@
     );
     let follows = file("disk.hcl", &text);
     let one = start(&known, &follows);
-    assert!(one.client().run_statement(&write("w1")).starts_with('T'));
-    one.end(&[]);
+    assert!(
+        one.connect_client()
+            .run_statement(&write("w1"))
+            .starts_with('T')
+    );
+    one.shut_down(&[]);
     let other = start(&known, &follows);
-    let said = other.said.borrow().join("\n");
+    let said = other.log_lines.borrow().join("\n");
     assert!(
         said.contains("\"many\"=1") || said.contains("many=1") || said.contains("many=\"1\""),
         "{said}"
@@ -119,14 +127,14 @@
     // Who has written is owed that, exactly; who has not is owed nothing, so a replica answers.
     assert!(
         other
-            .client()
+            .connect_client()
             .run_statement(&read("r1", ""))
             .starts_with('T')
     );
     assert!(set.take_read("r1").unwrap().by_primary);
     assert!(
         other
-            .client()
+            .connect_client()
             .run_statement(&read("r2", "").replace("64-p", "64-q"))
             .starts_with('T')
     );
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -31,7 +31,7 @@
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 100.0}, {"name": "venue", "share": 1.0, "quotaPerS": 100.0}]}"#;
 
 fn gateway(servers: &[(&Server, &str)], limits: (usize, usize), words: &[&str]) -> Gateway {
-    stands::gateway_with(
+    stands::start_with_servers(
         Path::new(env!("CARGO_BIN_EXE_leverpoint")),
         servers,
         SETTINGS,
@@ -61,14 +61,14 @@
 
 /// An honest client's answers to so many reads, as often as it takes where it is sent back: how many were rows.
 fn honest(gateway: &Gateway, many: usize) -> usize {
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     (0..many)
         .filter(|_| client.run_statement(&select("view")).starts_with("T D "))
         .count()
 }
 
 fn counted(line: &str, name: &str) -> u64 {
-    let count = stands::counted(line, name).and_then(|count| count.parse().ok());
+    let count = stands::counter_value(line, name).and_then(|count| count.parse().ok());
     count.unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
@@ -81,7 +81,7 @@
         limits,
         &[],
     );
-    let mut first = gateway.client();
+    let mut first = gateway.connect_client();
     for _ in 0..20 {
         assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
@@ -99,7 +99,7 @@
     drop(crowd);
     // Whoever of them is still known is let go, and all that was held comes back.
     let mut gateway = gateway;
-    let line = gateway.peers_at_end(false);
+    let line = gateway.shut_down_for_peers_line(false);
     assert!(counted(&line, "peers.let_go") > 0, "{line}");
     assert_eq!(
         (
@@ -145,12 +145,12 @@
             &[],
         );
         // A time that answers usually take is known, so the dispatch to the slow one is not waited for in full.
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         trace += &format!("{what}: {}", client.run_statement(&select("short")));
         next_statement(&slow);
         trace += &format!(
             "; {}\n",
-            gateway.end(&["answered", "dispatched", "ended.Reset", "ended.TimedOut"])
+            gateway.shut_down(&["answered", "dispatched", "ended.Reset", "ended.TimedOut"])
         );
     }
     insta::assert_snapshot!(trace);
@@ -165,11 +165,11 @@
     );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D late C Z"
     );
     assert_eq!(
-        gateway.end(&["answered", "dispatched", "ended.Answered"]),
+        gateway.shut_down(&["answered", "dispatched", "ended.Answered"]),
         "answered=1 dispatched=1 ended.Answered=1 "
     );
 }
@@ -184,13 +184,13 @@
         ],
     );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("report")), "T D row C Z");
     assert_eq!(client.run_statement(&insert("report")), "T D next C Z");
     // The dispatch would have been waited for over a minute; it has ended, and its index is free.
     while counted(&gateway.counters(), "ended.Answered") < 2 {}
     assert_eq!(
-        gateway.end(&["answered", "ended.Answered", "servers.opened"]),
+        gateway.shut_down(&["answered", "ended.Answered", "servers.opened"]),
         "answered=2 ended.Answered=2 servers.opened=2 "
     );
 }
@@ -202,7 +202,7 @@
     let seen = Arc::new(Seen::default());
     let habits = [Habit::Stops(20_000, Duration::from_secs(60))];
     let crowd = Crowd::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
-    let line = gateway.logged("event=\"client connection evicted\"");
+    let line = gateway.wait_for_log("event=\"client connection evicted\"");
     assert!(
         line.contains("why=\"too slow\"") && line.contains("state=\"Stalled\""),
         "{line}"
@@ -221,7 +221,7 @@
     habits.extend([Habit::Writes(1, Duration::from_millis(50)); 20]);
     let crowd = Crowd::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
     // One more of them, to hear what it is told.
-    let mut half = gateway.client();
+    let mut half = gateway.connect_client();
     half.send(&query_message(&select("view"))[..40]);
     assert_eq!(half.read_response(), "E C08P01 end");
     assert_eq!(honest(&gateway, 50), 50);
@@ -236,7 +236,7 @@
 fn a_long_statement_at_the_least_rate_is_taken_beyond_the_grace() {
     let primary = start_server("read-write", always_row("heard"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let text = insert("report").replace("\\x9f", &format!("\\x{}", "9f".repeat(32_000)));
     let bytes = query_message(&text);
     for piece in bytes.chunks(bytes.len() / 30) {
@@ -308,18 +308,18 @@
     ] {
         std::fs::write(&file, text).unwrap();
         gateway.signal("-HUP");
-        let line = gateway.logged("event=\"operator's file");
+        let line = gateway.wait_for_log("event=\"operator's file");
         trace += &format!(
             "{name}:{}\n",
             line.split_once("event=").unwrap().1.replace(&path, "FILE")
         );
         if name == "shorter" {
-            gateway.logged("event=\"client connection evicted\"");
+            gateway.wait_for_log("event=\"client connection evicted\"");
         }
     }
     // It ends in order, within the longest client timeout of what it has taken.
     drop(crowd);
-    trace += &gateway.end(&["failed"]);
+    trace += &gateway.shut_down(&["failed"]);
     let _ = std::fs::remove_file(&file);
     insta::assert_snapshot!(trace);
 }
@@ -340,13 +340,13 @@
     while counted(&gateway.counters(), "answered") < 1 {}
     drop(stream);
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D done C Z"
     );
     next_statement(&primary);
     assert!(primary.statements.try_recv().is_err());
     assert_eq!(
-        gateway.end(&["dispatched", "answered"]),
+        gateway.shut_down(&["dispatched", "answered"]),
         "dispatched=2 answered=2 "
     );
 }
@@ -356,7 +356,7 @@
     let primary = start_server("read-write", always_row("x"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &["--log", "json"]);
     gateway.signal("-USR1");
-    let line = gateway.logged("\"counters\"");
+    let line = gateway.wait_for_log("\"counters\"");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(value["msg"], "counters");
     assert!(
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -28,7 +28,7 @@
 }
 
 fn gateway_with(servers: &[(&Server, &str)], settings: &str, limits: (usize, usize)) -> Gateway {
-    stands::gateway_with(program(), servers, settings, limits, &[])
+    stands::start_with_servers(program(), servers, settings, limits, &[])
 }
 
 fn settings() -> &'static str {
@@ -60,7 +60,7 @@
         start_server("read-only", always_row("second")),
     );
     let gateway = gateway(&[(&primary, "read-write"), (&replica, "read-only")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let mut trace = format!("{}\n", client.run_statement(&insert("report")));
     trace += &format!("{}\n", client.run_statement(&select("view")));
     trace += &format!(
@@ -68,7 +68,7 @@
         next_statement(&primary),
         next_statement(&replica)
     );
-    trace += &gateway.end(&[
+    trace += &gateway.shut_down(&[
         "taken.view",
         "taken.report",
         "answered",
@@ -174,9 +174,9 @@
         );
         trace += &format!(
             "{name}: {} ",
-            gateway.client().run_statement(&select("view"))
+            gateway.connect_client().run_statement(&select("view"))
         );
-        let counted = gateway.end(&[
+        let counted = gateway.shut_down(&[
             "ended.Missed",
             "ended.Full",
             "ended.Error",
@@ -218,10 +218,10 @@
     ]);
     let primary = start_server("read-write", does);
     let gateway = gateway(&[(&primary, "read-write")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let mut trace = String::new();
     (0..6).for_each(|_| trace += &format!("{}\n", client.run_statement(&insert("order"))));
-    trace += &gateway.end(&[
+    trace += &gateway.shut_down(&[
         "answered",
         "ended.Answered",
         "ended.Reset",
@@ -264,9 +264,9 @@
         let gateway = gateway_with(&[(&primary, "read-write")], &near, (192, 1024));
         trace += &format!(
             "{name}: {} ",
-            gateway.client().run_statement(&insert("order"))
+            gateway.connect_client().run_statement(&insert("order"))
         );
-        trace += &gateway.end(&["throttled", "failed"]);
+        trace += &gateway.shut_down(&["throttled", "failed"]);
         trace += &format!("heard {}\n", primary.statements.try_iter().count().min(1));
     }
     insta::assert_snapshot!(trace);
@@ -279,7 +279,7 @@
         vec![ServerAction::Disconnect, ServerAction::Row("kept".into())],
     );
     let gateway = gateway(&[(&primary, "read-write")]);
-    let answer = gateway.client().run_statement(&insert("report"));
+    let answer = gateway.connect_client().run_statement(&insert("report"));
     assert_eq!(
         (
             answer.as_str(),
@@ -296,7 +296,7 @@
         start_server("read-only", vec![ServerAction::NoResponse]),
     );
     let gateway = gateway(&[(&primary, "read-write"), (&replica, "read-only")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&select("view")), "T D in time C Z");
     next_statement(&replica);
     assert_eq!(next_statement(&replica), "closed");
@@ -312,10 +312,10 @@
         vec![waits, ServerAction::Row("other's".into())],
     );
     let gateway = gateway(&[(&primary, "read-write")]);
-    let mut gone = gateway.client();
+    let mut gone = gateway.connect_client();
     gone.send(&query_message(&insert("report")));
     next_statement(&primary);
-    let mut other = gateway.client();
+    let mut other = gateway.connect_client();
     assert_eq!(other.run_statement(&insert("report")), "T D other's C Z");
     drop(gone);
     // Until its going has been met.
@@ -323,7 +323,7 @@
     assert_eq!(other.run_statement(&insert("report")), "T D other's C Z");
     go.send(()).unwrap();
     drop(other);
-    insta::assert_snapshot!(gateway.end(&[
+    insta::assert_snapshot!(gateway.shut_down(&[
         "taken.report",
         "answered",
         "throttled",
@@ -337,7 +337,7 @@
     let value = "ab".repeat(32 << 10);
     let primary = start_server("read-write", always_row(&value));
     let gateway = gateway(&[(&primary, "read-write")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let text = insert("report").replace("9f", &"9f".repeat(64 << 10));
     for _ in 0..3 {
         assert_eq!(client.run_statement(&text), "T D of 65536 bytes C Z");
@@ -350,7 +350,7 @@
     let value = "ab".repeat(32 << 10);
     let primary = start_server("read-write", always_row(&value));
     let gateway = gateway(&[(&primary, "read-write")]);
-    let (mut slow, mut other) = (gateway.client(), gateway.client());
+    let (mut slow, mut other) = (gateway.connect_client(), gateway.connect_client());
     // Far more than the system keeps for a connection both ways.
     let many = 400;
     let text = query_message(&insert("report"));
@@ -383,7 +383,7 @@
         .replace("60000.0", "2000.0")
         .replace("Ms\": 500.0", "Ms\": 60000.0");
     let gateway = gateway_with(&[(&one, "read-write")], &near, (192, 1024));
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let mut trace = format!("at first: {}\n", client.run_statement(&insert("report")));
     let moved = endpoint_list(8, false, &[target("s0", &two.address, "up", "read-write")]);
     // The next ask shows that the last answer was read.
@@ -457,7 +457,7 @@
     gateway.agent.responses.send(http_ok(&moved)).unwrap();
     gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
     assert_eq!(
-        gateway.client().run_statement(&insert("report")),
+        gateway.connect_client().run_statement(&insert("report")),
         "T D two C Z"
     );
 }
@@ -469,20 +469,20 @@
         start_server("read-write", always_row("two")),
     );
     let gateway = gateway(&[(&one, "read-write")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let mut trace = format!("at first: {}\n", client.run_statement(&insert("report")));
     let elsewhere = start_agent();
     // No list of its own: what is held goes on deciding. The environment still names the old address.
     let fine = config(&gateway.address, &elsewhere.address, "null", settings());
     let mut reload = |name: &str, text: &str, event: &str| {
-        std::fs::write(&gateway.file, text).unwrap();
+        std::fs::write(&gateway.config_path, text).unwrap();
         gateway.signal("-HUP");
-        let line = gateway.logged(event);
+        let line = gateway.wait_for_log(event);
         let told = line
             .split_once("event=")
             .unwrap()
             .1
-            .replace(&gateway.file.display().to_string(), "FILE");
+            .replace(&gateway.config_path.display().to_string(), "FILE");
         let told = told.replace(&elsewhere.address, "ELSEWHERE");
         trace += &format!(
             "{name}: {told}; {}\n",
@@ -539,10 +539,10 @@
         ],
     );
     let gateway = gateway(&[(&primary, "read-write")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let mut trace = format!("{}\n", client.run_statement(&insert("order")));
     trace += &format!("{}\n", client.run_statement(&insert("order")));
-    trace += &gateway.end(&[
+    trace += &gateway.shut_down(&[
         "answered",
         "ended.Answered",
         "ended.Reset",
@@ -556,7 +556,7 @@
     let primary = start_server("read-write", always_row("fine"));
     let gateway = gateway(&[(&primary, "read-write")]);
     let mut trace = String::new();
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let texts = [
         "SELECT 1".to_owned(),
         select("nobody"),
@@ -571,7 +571,10 @@
         trace += &format!("{:.60}: {}\n", text, client.run_statement(text));
     }
     let long = insert("report").replace("9f", &"9f".repeat(300 << 10));
-    trace += &format!("a long one: {}\n", gateway.client().run_statement(&long));
+    trace += &format!(
+        "a long one: {}\n",
+        gateway.connect_client().run_statement(&long)
+    );
     let mut parse = Vec::new();
     put_message(&mut parse, b'P', b"\0SELECT 1\0\0\0");
     put_message(&mut parse, b'D', b"P\0");
@@ -581,7 +584,7 @@
     trace += &format!("and on: {}\n", client.run_statement(&insert("report")));
     let broken: [(&str, &[u8]); 2] = [("length", b"Q\0\0\0\x01"), ("type", b"!\0\0\0\x04")];
     for (name, bytes) in broken {
-        let mut client = gateway.client();
+        let mut client = gateway.connect_client();
         client.send(bytes);
         trace += &format!("impossible {name}: {}\n", client.read_response());
     }
@@ -601,7 +604,7 @@
         );
     }
     trace += &format!("heard {}\n", primary.statements.try_iter().count());
-    trace += &gateway.end(&["bad_messages", "answered"]);
+    trace += &gateway.shut_down(&["bad_messages", "answered"]);
     insta::assert_snapshot!(trace);
 }
 
@@ -610,7 +613,7 @@
     let (go, waits) = row_on_signal("waited");
     let primary = start_server("read-write", vec![waits]);
     let gateway = gateway(&[(&primary, "read-write")]);
-    let (mut honest, mut other) = (gateway.client(), gateway.client());
+    let (mut honest, mut other) = (gateway.connect_client(), gateway.connect_client());
     let text = insert("report");
     honest.send(&query_message(&text));
     next_statement(&primary);
@@ -619,7 +622,7 @@
         other.run_statement(&text)
     );
     // Sends at full speed until it is stopped, and reads what it is sent.
-    let mut floods = gateway.client();
+    let mut floods = gateway.connect_client();
     let mut sends = floods.stream.try_clone().unwrap();
     let sender = thread::spawn(move || {
         let _ = sends.write_all(b"Q\x03\x93\x87\0");
@@ -631,7 +634,7 @@
     trace += &format!("the honest one: {}\n", honest.read_response());
     go.send(()).unwrap();
     trace += &format!("its id is free again: {}\n", other.run_statement(&text));
-    let mut stops = gateway.client();
+    let mut stops = gateway.connect_client();
     stops.send(&query_message(&insert("report"))[..40]);
     trace += &format!("half a command: {}\n", stops.read_response());
     let mut silent = TcpStream::connect(&gateway.address).unwrap();
@@ -642,7 +645,7 @@
         Client { stream: silent }.read_response()
     );
     trace += &format!("heard besides {}\n", primary.statements.try_iter().count());
-    trace += &gateway.end(&["answered", "throttled", "failed", "bad_messages"]);
+    trace += &gateway.shut_down(&["answered", "throttled", "failed", "bad_messages"]);
     insta::assert_snapshot!(trace);
 }
 
@@ -651,15 +654,15 @@
     let primary = start_server("read-write", always_row("served"));
     // Four descriptors for clients.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 25));
-    let mut honest = gateway.client();
+    let mut honest = gateway.connect_client();
     assert_eq!(honest.run_statement(&insert("report")), "T D served C Z");
     let crowd: Vec<_> = (0..40)
         .map(|_| TcpStream::connect(&gateway.address).unwrap())
         .collect();
-    let admitted: Vec<_> = (0..10).map(|_| gateway.client()).collect();
+    let admitted: Vec<_> = (0..10).map(|_| gateway.connect_client()).collect();
     for _ in 0..3 {
         assert_eq!(
-            gateway.client().run_statement(&insert("report")),
+            gateway.connect_client().run_statement(&insert("report")),
             "T D served C Z"
         );
     }
@@ -667,7 +670,7 @@
     assert_eq!(honest.run_statement(&insert("report")), "T D served C Z");
     drop((crowd, admitted));
     assert_eq!(
-        gateway.end(&["answered", "throttled", "failed"]),
+        gateway.shut_down(&["answered", "throttled", "failed"]),
         "answered=5 throttled=0 failed=0 "
     );
 }
@@ -677,7 +680,7 @@
     let primary = start_server("read-write", always_row("served"));
     // Ten that may stay, far fewer than have a descriptor.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 60));
-    let mut stay: Vec<_> = (0..15).map(|_| gateway.client()).collect();
+    let mut stay: Vec<_> = (0..15).map(|_| gateway.connect_client()).collect();
     for client in &mut stay {
         assert_eq!(client.run_statement(&insert("report")), "T D served C Z");
     }
@@ -694,12 +697,12 @@
     let primary = start_server("read-write", always_row("served"));
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (32, 1024));
     let whole = query_message(&insert("report").replace("9f", &"9f".repeat(64 << 10)));
-    let mut stop: Vec<_> = (0..200).map(|_| gateway.client()).collect();
+    let mut stop: Vec<_> = (0..200).map(|_| gateway.connect_client()).collect();
     stop.iter_mut()
         .for_each(|client| client.send(&whole[..3000]));
     assert_eq!(
         gateway
-            .client()
+            .connect_client()
             .run_statement(&insert("report").replace("9f", &"9f".repeat(64 << 10))),
         "T D served C Z"
     );
@@ -713,13 +716,13 @@
         vec![waits, ServerAction::Row("taken on".into())],
     );
     let mut gateway = gateway(&[(&primary, "read-write")]);
-    let (mut busy, mut idle) = (gateway.client(), gateway.client());
+    let (mut busy, mut idle) = (gateway.connect_client(), gateway.connect_client());
     busy.send(&query_message(&insert("report")));
     next_statement(&primary);
     gateway.signal("-TERM");
-    gateway.logged("event=\"ending\"");
+    gateway.wait_for_log("event=\"ending\"");
     gateway.signal("-TERM");
-    let mut late = gateway.client();
+    let mut late = gateway.connect_client();
     let mut trace = format!(
         "a new connection: {}\n",
         late.run_statement(&insert("report"))
@@ -735,7 +738,7 @@
     );
     drop(busy);
     trace += gateway
-        .logged("event=\"ended\"")
+        .wait_for_log("event=\"ended\"")
         .split_once("event")
         .unwrap()
         .1;
@@ -749,14 +752,14 @@
     let primary = start_server("read-write", vec![waits]);
     // Nine descriptors for connections: four for clients, as many for servers, one for what is sent back.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 25));
-    let mut busy: Vec<_> = (0..4).map(|_| gateway.client()).collect();
+    let mut busy: Vec<_> = (0..4).map(|_| gateway.connect_client()).collect();
     for client in &mut busy {
         client.send(&query_message(&insert("report")));
         next_statement(&primary);
     }
     let mut trace = format!(
         "a fifth: {}\n",
-        gateway.client().run_statement(&insert("report"))
+        gateway.connect_client().run_statement(&insert("report"))
     );
     go.send(()).unwrap();
     (0..3).for_each(|_| go.send(()).unwrap());
@@ -765,7 +768,7 @@
     go.send(()).unwrap();
     trace += &format!(
         "a sixth: {}\n",
-        gateway.client().run_statement(&insert("report"))
+        gateway.connect_client().run_statement(&insert("report"))
     );
     // The one that was idle for longest has gone; which it is depends on who was answered first.
     let mut left: Vec<_> = busy
@@ -775,7 +778,7 @@
     left.sort();
     trace += &format!("the four: {left:?}\n");
     drop(busy);
-    trace += &gateway.end(&["answered", "throttled", "clients.refused"]);
+    trace += &gateway.shut_down(&["answered", "throttled", "clients.refused"]);
     insta::assert_snapshot!(trace);
 }
 
@@ -783,7 +786,7 @@
 fn counters_are_logged_on_sigusr1_and_a_killed_gateway_is_ready_with_its_first_list() {
     let primary = start_server("read-write", always_row("x"));
     let mut gateway = gateway(&[(&primary, "read-write")]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.run_statement(&insert("report"));
     assert!(gateway.counters().contains(" answered=1 "));
     gateway.child.kill().unwrap();
@@ -791,7 +794,7 @@
     let agent = start_agent();
     let text = config(&gateway.address, &agent.address, "null", settings());
     let gateway = stands::start(&text, gateway.address.clone(), agent, program(), &[]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     client.send(&query_message(""));
     assert!(
         gateway
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -13,8 +13,8 @@
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use leverpoint_test_support::client::{ResponseOutcome, classify_response};
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::member::{Set, serving};
-use leverpoint_test_support::stage::{Build, Stage};
 use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -61,7 +61,7 @@
 /// Fleets that play side by side on one set.
 const LANES: usize = 5;
 
-fn build(known: &str, on: bool, without: bool, seed: u64) -> Build {
+fn build(known: &str, on: bool, without: bool, seed: u64) -> FleetConfig {
     let sessions = "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\n";
     let copies = "copies {\n  on = true\n  lease = \"500ms\"\n  starts = \"300ms\"\n}\n";
     // The harm without copies: sessions that trust what this process alone has seen.
@@ -72,18 +72,18 @@
         (true, false) => format!("{sessions}{copies}"),
         (false, false) => sessions.to_owned(),
     };
-    Build {
+    FleetConfig {
         processes: PROCESSES,
         founders: PROCESSES,
-        beat_ms: 50,
-        settles_ms: Some(50),
+        heartbeat_ms: 50,
+        settle_ms: Some(50),
         disk: true,
         zones: 2,
         members: true,
         relays: false,
         settings: SETTINGS.into(),
-        known: known.into(),
-        more,
+        known_list: known.into(),
+        extra_hcl: more,
         seed,
     }
 }
@@ -91,7 +91,7 @@
 struct Lane<'a> {
     set: &'a Set,
     asked: &'a Asked,
-    stage: Stage,
+    stage: GatewayFleet,
     chance: Rng,
     name: usize,
     ids: usize,
@@ -159,13 +159,13 @@
             .command(writer, &|id, left| write(id, left, ""))
             .is_some();
         // Lost with its folder, at once.
-        let gone = self.stage.take(writer);
+        let gone = self.stage.kill_and_erase_keeping_log(writer);
         self.figures.machines_lost += 1;
         if answered {
             let unpromised = gone
                 .log
                 .try_iter()
-                .chain(gone.said.take())
+                .chain(gone.log_lines.take())
                 .any(|l| l.contains("without a promise"));
             self.figures.promises += usize::from(!unpromised);
             self.looks(reader, &session, !unpromised);
@@ -179,11 +179,11 @@
         let began = Instant::now();
         self.stage.start(writer);
         if !self.asked.without {
-            let version = self.stage.word(reader).layout;
-            let _ = self.stage.waits(reader, |word| {
+            let version = self.stage.observed(reader).layout;
+            let _ = self.stage.wait_for_state(reader, |word| {
                 word.layout >= version + 2 && word.holders >= 5
             });
-            (0..PROCESSES).for_each(|p| self.stage.settles(p));
+            (0..PROCESSES).for_each(|p| self.stage.wait_until_settled(p));
             let _ = self.repairs.record(began.elapsed().as_micros() as u64);
         }
     }
@@ -225,11 +225,11 @@
     let (next, over) = (AtomicUsize::new(0), AtomicBool::new(false));
     let lane = |name: usize| {
         let seed = asked.seed * 100 + name as u64;
-        let mut stage = Stage::new(program, build(&known, true, asked.without, seed));
+        let mut stage = GatewayFleet::new(program, build(&known, true, asked.without, seed));
         stage.start_all();
         if !asked.without {
-            stage.meet(&[0, 1, 2, 3, 4], 1);
-            (0..PROCESSES).for_each(|p| stage.settles(p));
+            stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+            (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
         }
         let mut lane = Lane {
             set: &set,
@@ -313,14 +313,14 @@
 /// p99 of the one over the other's.
 fn beside(asked: &Asked, program: &Path, clients: usize) -> Result<f64, String> {
     let (_set, _members, known) = serving(BUILD, MEMBERS, WORK);
-    let stages: Vec<Stage> = [true, false]
+    let stages: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
-            let mut stage = Stage::new(program, build(&known, on, false, asked.seed));
+            let mut stage = GatewayFleet::new(program, build(&known, on, false, asked.seed));
             stage.start_all();
-            stage.meet(&[0, 1, 2, 3, 4], 1);
+            stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
             if on {
-                (0..PROCESSES).for_each(|p| stage.settles(p));
+                (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
             }
             stage
         })
@@ -404,11 +404,11 @@
 /// In service, with nothing lost: what a session's read costs where any gateway may have taken its reports.
 fn players(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
     let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
-    let mut stage = Stage::new(program, build(&known, true, asked.without, asked.seed));
+    let mut stage = GatewayFleet::new(program, build(&known, true, asked.without, asked.seed));
     stage.start_all();
     if !asked.without {
-        stage.meet(&[0, 1, 2, 3, 4], 1);
-        (0..PROCESSES).for_each(|p| stage.settles(p));
+        stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+        (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
     }
     let addresses: Vec<String> = (0..PROCESSES)
         .map(|p| stage.gateway(p).address.clone())
@@ -445,10 +445,10 @@
         return Ok(());
     }
     let exact: u64 = (0..PROCESSES)
-        .map(|p| stage.counted_of(p, "copies", "exact"))
+        .map(|p| stage.counter(p, "copies", "exact"))
         .sum();
     let owed: u64 = (0..PROCESSES)
-        .map(|p| stage.counted_of(p, "copies", "owed"))
+        .map(|p| stage.counter(p, "copies", "owed"))
         .sum();
     eprintln!(
         "{} reads of players, {missing} missing, {exact} exact, {owed} owed the instant",
@@ -505,10 +505,10 @@
         asked.records
     };
     let (_set, _members, known) = serving(BUILD, MEMBERS, Duration::from_micros(50));
-    let mut stage = Stage::new(program, build(&known, true, false, asked.seed));
+    let mut stage = GatewayFleet::new(program, build(&known, true, false, asked.seed));
     stage.start_all();
-    stage.meet(&[0, 1, 2, 3, 4], 1);
-    (0..PROCESSES).for_each(|p| stage.settles(p));
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+    (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
     let next = AtomicUsize::new(0);
     let addresses: Vec<String> = (0..PROCESSES)
         .map(|p| stage.gateway(p).address.clone())
@@ -543,13 +543,13 @@
         "{records} sessions written in {:.1} s",
         began.elapsed().as_secs_f64()
     );
-    let counted = |stage: &mut Stage, p: usize| stage.counted_of(p, "copies", "copies.records");
+    let counted = |stage: &mut GatewayFleet, p: usize| stage.counter(p, "copies", "copies.records");
     let held: Vec<u64> = (0..PROCESSES).map(|p| counted(&mut stage, p)).collect();
-    let bytes = |stage: &mut Stage| -> u64 {
-        let running: Vec<usize> = (0..PROCESSES).filter(|p| stage.runs(*p)).collect();
+    let bytes = |stage: &mut GatewayFleet| -> u64 {
+        let running: Vec<usize> = (0..PROCESSES).filter(|p| stage.is_running(*p)).collect();
         running
             .into_iter()
-            .map(|p| stage.counted_of(p, "member", "link.sent_bytes"))
+            .map(|p| stage.counter(p, "member", "link.sent_bytes"))
             .sum()
     };
     let over = AtomicBool::new(false);
@@ -558,7 +558,7 @@
         let over = &over;
         let player = scope.spawn(move || commands(&address, over));
         thread::sleep(4 * STEP);
-        stage.burn(4);
+        stage.kill_and_erase(4);
         stage.start(4);
         let (mut rows, began) = (Vec::new(), Instant::now());
         let before = bytes(&mut stage);
@@ -571,7 +571,7 @@
                 bytes(&mut stage).saturating_sub(before),
             ));
             let [version, base, whole] = ["copies.layout", "copies.base", "copies.whole"]
-                .map(|name| stage.counted_of(4, "copies", name));
+                .map(|name| stage.counter(4, "copies", name));
             if (whole >= version && base == version && version > 1)
                 || began.elapsed() > Duration::from_secs(600)
             {
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/members.rs
@@ -13,9 +13,9 @@
 use hdrhistogram::Histogram;
 use leverpoint_membership::{MembershipConfig, Ticks};
 use leverpoint_test_support::client::{ResponseOutcome, classify_response};
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::member::{PLAIN, serving};
-use leverpoint_test_support::relay::Trouble;
-use leverpoint_test_support::stage::{Build, Stage};
+use leverpoint_test_support::relay::LinkFaults;
 use leverpoint_test_support::values::expected_value;
 use leverpoint_test_support::wire::endpoint_list;
 use plotters::prelude::*;
@@ -69,19 +69,19 @@
     members: bool,
     known: String,
     seed: u64,
-) -> Build {
-    Build {
+) -> FleetConfig {
+    FleetConfig {
         processes,
         founders: processes.min(3),
-        beat_ms,
-        settles_ms: None,
+        heartbeat_ms: beat_ms,
+        settle_ms: None,
         disk: true,
         zones: 3,
         members,
         relays,
         settings: SETTINGS.into(),
-        known,
-        more: String::new(),
+        known_list: known,
+        extra_hcl: String::new(),
         seed,
     }
 }
@@ -99,17 +99,19 @@
 }
 
 /// Waits for each of `who` to see `name` so; the longest, and how many did not come to it within the bound.
-fn all_see(stage: &mut Stage, who: &[usize], name: &str, how: &str) -> (Duration, u64) {
+fn all_see(stage: &mut GatewayFleet, who: &[usize], name: &str, how: &str) -> (Duration, u64) {
     let (began, mut late) = (Instant::now(), 0);
     for p in who {
-        let come = stage.waits(*p, |word| word.sees(name, how)).is_some();
+        let come = stage
+            .wait_for_state(*p, |word| word.has_status(name, how))
+            .is_some();
         late += u64::from(!come || began.elapsed() > bound());
     }
     (began.elapsed(), late)
 }
 
 /// All see all others here, within the bound.
-fn all_here(stage: &mut Stage) -> u64 {
+fn all_here(stage: &mut GatewayFleet) -> u64 {
     let all: Vec<usize> = (0..PROCESSES).collect();
     let names: Vec<String> = all.iter().map(|p| stage.name(*p).to_owned()).collect();
     names.iter().enumerate().fold(0, |late, (p, name)| {
@@ -120,18 +122,18 @@
 
 fn play(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
     let known = endpoint_list(7, true, &[]);
-    let mut stage = Stage::new(
+    let mut stage = GatewayFleet::new(
         program,
         build(PROCESSES, BEAT_MS, true, true, known, asked.seed),
     );
     stage.start_all();
     let all: Vec<usize> = (0..PROCESSES).collect();
-    stage.meet(&all, 2);
+    stage.wait_for_layout(&all, 2);
     let mut chance = Rng::with_seed(asked.seed);
     let mut detected = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    let cut = Trouble {
-        cut: true,
-        ..Trouble::default()
+    let cut = LinkFaults {
+        partitioned: true,
+        ..LinkFaults::default()
     };
     let mut table =
         csv::Writer::from_path(asked.out.join("members.csv")).map_err(|e| e.to_string())?;
@@ -148,7 +150,7 @@
                 if kind == 0 {
                     stage.kill(p);
                 } else {
-                    stage.burn(p);
+                    stage.kill_and_erase(p);
                 }
                 let seen = all_see(&mut stage, &others, &name, "gone");
                 stage.start(p);
@@ -161,36 +163,36 @@
                 seen
             }
             3 => {
-                stage.between(&[p], &others, cut);
+                stage.set_faults_between(&[p], &others, cut);
                 let seen = all_see(&mut stage, &others, &name, "gone");
-                stage.heal();
+                stage.clear_faults();
                 seen
             }
             4 => {
                 let (one, other) = all.split_at(PROCESSES / 2);
-                stage.between(one, other, cut);
+                stage.set_faults_between(one, other, cut);
                 let last = stage.name(other[0]).to_owned();
                 let seen = all_see(&mut stage, one, &last, "gone");
-                stage.heal();
+                stage.clear_faults();
                 seen
             }
             5 => {
-                stage.end(p);
+                stage.shut_down(p);
                 let seen = all_see(&mut stage, &others, &name, "left");
                 stage.start(p);
                 (Duration::ZERO, seen.1)
             }
             _ => {
-                let rough = Trouble {
-                    lose: 0.3,
-                    double: 0.2,
+                let rough = LinkFaults {
+                    loss: 0.3,
+                    duplication: 0.2,
                     reorder: 0.2,
-                    spoil: 0.02,
-                    ..Trouble::default()
+                    corruption: 0.02,
+                    ..LinkFaults::default()
                 };
-                stage.between(&all, &all, rough);
+                stage.set_faults_between(&all, &all, rough);
                 sleep(Duration::from_millis(20 * BEAT_MS));
-                stage.heal();
+                stage.clear_faults();
                 (Duration::ZERO, 0)
             }
         };
@@ -214,13 +216,19 @@
             eprintln!("{} faults played", fault + 1);
         }
         // A life's own counts end with it, so they are added up before the next fault.
-        let forks: u64 = all.iter().map(|p| stage.word(*p).forks).sum();
-        let old: u64 = all.iter().map(|p| stage.word(*p).old).sum();
+        let forks: u64 = all
+            .iter()
+            .map(|p| stage.observed(*p).layout_conflicts)
+            .sum();
+        let old: u64 = all.iter().map(|p| stage.observed(*p).stale_statuses).sum();
         figures.forks = figures.forks.max(forks);
         figures.old_incarnation_believed = figures.old_incarnation_believed.max(old);
     }
     table.flush().map_err(|e| e.to_string())?;
-    figures.forks += all.iter().map(|p| stage.counted(*p, "forks")).sum::<u64>();
+    figures.forks += all
+        .iter()
+        .map(|p| stage.member_counter(*p, "forks"))
+        .sum::<u64>();
     figures.detect_ms_p50 = detected.value_at_quantile(0.5) as f64;
     figures.detect_ms_p99 = detected.value_at_quantile(0.99) as f64;
     Ok(())
@@ -229,15 +237,17 @@
 /// What a quiet fleet of so many costs a member, at the usual beat.
 fn cost(asked: &Asked, program: &Path, members: usize) -> Cost {
     let known = endpoint_list(7, true, &[]);
-    let mut stage = Stage::new(program, build(members, 500, false, true, known, asked.seed));
+    let mut stage = GatewayFleet::new(program, build(members, 500, false, true, known, asked.seed));
     stage.start_all();
     for p in 0..members {
-        stage.until(p, "all are known", |word| word.many("here") >= members - 1);
+        stage.expect_state(p, "all are known", |word| {
+            word.count_with_status("here") >= members - 1
+        });
     }
     // What begins with a fleet is over: the votes on each new holder, greetings of first connections, news.
     let began = Instant::now();
-    while stage.word(0).holders < members as u64 && began.elapsed() < TAKEN_IN {
-        let _ = stage.waits(0, |word| word.holders >= members as u64);
+    while stage.observed(0).holders < members as u64 && began.elapsed() < TAKEN_IN {
+        let _ = stage.wait_for_state(0, |word| word.holders >= members as u64);
     }
     eprintln!(
         "{members} members hold a layout after {:.1} s",
@@ -245,10 +255,10 @@
     );
     sleep(Duration::from_secs(if asked.short { 3 } else { 20 }));
     let some: Vec<usize> = (0..members).step_by(members.div_ceil(10)).collect();
-    let look = |stage: &mut Stage| -> (f64, f64) {
+    let look = |stage: &mut GatewayFleet| -> (f64, f64) {
         let bytes: u64 = some
             .iter()
-            .map(|p| stage.counted(*p, "link.sent_bytes"))
+            .map(|p| stage.member_counter(*p, "link.sent_bytes"))
             .sum();
         let cpu: f64 = (0..members)
             .map(|p| cpu_s(stage.gateway(p).child.id()))
@@ -270,14 +280,14 @@
 /// Commands through a gateway that is a member and through one that is none, in turns.
 fn beside(asked: &Asked, program: &Path) -> Result<f64, String> {
     let (_set, _members, known) = serving(PLAIN, 3, Duration::from_millis(2));
-    let stages: Vec<Stage> = [true, false]
+    let stages: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
             let mut stage =
-                Stage::new(program, build(5, 500, false, on, known.clone(), asked.seed));
+                GatewayFleet::new(program, build(5, 500, false, on, known.clone(), asked.seed));
             stage.start_all();
             if on {
-                stage.meet(&[0, 1, 2, 3, 4], 2);
+                stage.wait_for_layout(&[0, 1, 2, 3, 4], 2);
             }
             stage
         })
--- a/crates/loadtest/src/slow.rs
+++ b/crates/loadtest/src/slow.rs
@@ -94,7 +94,7 @@
 }
 
 fn counted(line: &str, name: &str) -> u64 {
-    gateway::counted(line, name)
+    gateway::counter_value(line, name)
         .and_then(|count| count.parse().ok())
         .unwrap_or(0)
 }
@@ -155,13 +155,13 @@
     drop(lines);
     let rss = peak_rss_mb(stage.gateway.child.id());
     let cpu = cpu_s(stage.gateway.child.id());
-    let line = stage.gateway.peers_at_end(asked.plain);
-    let commands = counted(&stage.gateway.said.borrow().join(" "), "answered").max(1);
+    let line = stage.gateway.shut_down_for_peers_line(asked.plain);
+    let commands = counted(&stage.gateway.log_lines.borrow().join(" "), "answered").max(1);
     eprintln!(
         "{cpu} s of CPU, {commands} answered, {:.1} us each",
         cpu * 1e6 / commands as f64
     );
-    let log = stage.gateway.said.borrow().join("\n");
+    let log = stage.gateway.log_lines.borrow().join("\n");
     std::fs::write(asked.out.join("gateway.log"), log).map_err(|e| e.to_string())?;
     let (twice, _) = stage.set.effects();
     let sum = |slow: bool| {
--- a/crates/test-support/src/stage.rs
+++ b/crates/test-support/src/fleet.rs
@@ -15,18 +15,18 @@
 
 use crate::agent::start_agent;
 use crate::gateway::{self, Gateway};
-use crate::relay::{Trouble, Way, relay};
+use crate::relay::{LinkDirection, LinkFaults, start_relay};
 use crate::wire::{WAIT_LIMIT, http_ok};
 
 /// How the fleet is set up.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct FleetConfig {
     pub processes: usize,
     /// So many of them agree on the first layout.
     pub founders: usize,
-    pub beat_ms: u64,
+    pub heartbeat_ms: u64,
     /// How long one is seen before it is proposed; the usual time where it is absent.
-    pub settles_ms: Option<u64>,
+    pub settle_ms: Option<u64>,
     /// Whether they keep what they hold on a disk.
     pub disk: bool,
     /// Processes stand in so many zones in turn.
@@ -36,65 +36,69 @@
     pub relays: bool,
     /// The configuration's settings, and the list of servers that is known.
     pub settings: String,
-    pub known: String,
+    pub known_list: String,
     /// What else the operator's file of each says.
-    pub more: String,
+    pub extra_hcl: String,
     pub seed: u64,
 }
 
 /// What a process has said of itself, line by line.
 #[derive(Clone, Debug, Default)]
-pub struct Word {
+pub struct ObservedState {
     pub admitted: bool,
-    pub ended: bool,
-    pub taken: bool,
+    pub superseded: bool,
+    pub name_in_use: bool,
     pub layout: u64,
     pub holders: u64,
-    pub forks: u64,
+    pub layout_conflicts: u64,
     /// Words of others' lives that had ended before, by its own earlier word.
-    pub old: u64,
-    pub life: u64,
+    pub stale_statuses: u64,
+    pub incarnation: u64,
     pub memory: String,
     /// By name: life, and how it is seen.
-    pub seen: BTreeMap<String, (u64, String)>,
+    pub statuses: BTreeMap<String, (u64, String)>,
 }
 
-impl Word {
+impl ObservedState {
     fn take(&mut self, line: &Value) {
         let text = |key: &str| line[key].as_str().unwrap_or_default().to_owned();
         match line["msg"].as_str().unwrap_or_default() {
             "member admitted" => self.admitted = true,
             "member started" if line["life"].is_u64() => {
-                (self.life, self.memory) = (line["life"].as_u64().unwrap_or(0), text("memory"));
+                (self.incarnation, self.memory) =
+                    (line["life"].as_u64().unwrap_or(0), text("memory"));
                 self.layout = line["layout"].as_u64().unwrap_or(0);
             }
             "member status changed" => {
                 let life = line["life"].as_u64().unwrap_or(0);
-                self.old += u64::from(
-                    self.seen
+                self.stale_statuses += u64::from(
+                    self.statuses
                         .get(&text("who"))
                         .is_some_and(|(before, _)| life < *before),
                 );
-                self.seen.insert(text("who"), (life, text("seen")));
+                self.statuses.insert(text("who"), (life, text("seen")));
             }
             "layout changed" => {
                 self.layout = line["version"].as_u64().unwrap_or(0);
                 self.holders = line["holders"].as_u64().unwrap_or(0);
             }
-            "conflicting layouts of one version" => self.forks += 1,
-            said if said.starts_with("member name already in use") => self.taken = true,
-            said if said.starts_with("superseded by a newer incarnation") => self.ended = true,
+            "conflicting layouts of one version" => self.layout_conflicts += 1,
+            said if said.starts_with("member name already in use") => self.name_in_use = true,
+            said if said.starts_with("superseded by a newer incarnation") => self.superseded = true,
             _ => {}
         }
     }
 
-    pub fn sees(&self, name: &str, how: &str) -> bool {
-        self.seen.get(name).is_some_and(|(_, seen)| seen == how)
+    pub fn has_status(&self, name: &str, how: &str) -> bool {
+        self.statuses.get(name).is_some_and(|(_, seen)| seen == how)
     }
 
     /// How many it sees so.
-    pub fn many(&self, how: &str) -> usize {
-        self.seen.values().filter(|(_, seen)| seen == how).count()
+    pub fn count_with_status(&self, how: &str) -> usize {
+        self.statuses
+            .values()
+            .filter(|(_, seen)| seen == how)
+            .count()
     }
 }
 
@@ -102,26 +106,26 @@
 struct Place {
     name: String,
     gateway: Option<Gateway>,
-    word: Word,
+    word: ObservedState,
     link: Arc<Mutex<SocketAddr>>,
     folder: PathBuf,
     file: PathBuf,
 }
 
-pub struct Stage {
+pub struct GatewayFleet {
     program: PathBuf,
-    build: Build,
+    build: FleetConfig,
     root: PathBuf,
     places: Vec<Place>,
     /// From, to; a process that came in later under a name already there has that one's ways.
-    ways: Vec<Vec<Way>>,
+    ways: Vec<Vec<LinkDirection>>,
     relays: Vec<Vec<Option<SocketAddr>>>,
     pub keys: Vec<String>,
     /// Processes whose file says nothing of `more`, as an older program's.
-    pub older: Vec<usize>,
+    pub older_processes: Vec<usize>,
 }
 
-pub const KEY: &str = "7:00112233445566778899aabbccddeeff";
+pub const FLEET_KEY: &str = "7:00112233445566778899aabbccddeeff";
 
 /// A port that is free just now, on a loopback address that no other stage has.
 fn free() -> SocketAddr {
@@ -129,9 +133,9 @@
     address.parse().unwrap()
 }
 
-impl Stage {
+impl GatewayFleet {
     /// Relays stand, no process runs yet.
-    pub fn new(program: &Path, build: Build) -> Stage {
+    pub fn new(program: &Path, build: FleetConfig) -> GatewayFleet {
         let mark = free().to_string().replace([':', '.'], "-");
         let root =
             std::env::temp_dir().join(format!("leverpoint-stage-{}-{mark}", std::process::id()));
@@ -141,26 +145,26 @@
             .map(|p| Place {
                 name: format!("n{p}"),
                 gateway: None,
-                word: Word::default(),
+                word: ObservedState::default(),
                 link: Arc::new(Mutex::new(free())),
                 folder: root.join(format!("p{p}")),
                 file: root.join(format!("p{p}.hcl")),
             })
             .collect();
         std::fs::create_dir_all(&root).unwrap();
-        let ways: Vec<Vec<Way>> = (0..n)
-            .map(|_| (0..n).map(|_| Way::default()).collect())
+        let ways: Vec<Vec<LinkDirection>> = (0..n)
+            .map(|_| (0..n).map(|_| LinkDirection::default()).collect())
             .collect();
         let mut between = |a: usize, b: usize| {
             let (forth, back) = (ways[a][b].clone(), ways[b][a].clone());
             (a != b && build.relays)
-                .then(|| relay(places[b].link.clone(), forth, back, chance.u64(..)))
+                .then(|| start_relay(places[b].link.clone(), forth, back, chance.u64(..)))
         };
         let relays = (0..n)
             .map(|a| (0..n).map(|b| between(a, b)).collect())
             .collect();
-        let keys = vec![KEY.into(); n];
-        Stage {
+        let keys = vec![FLEET_KEY.into(); n];
+        GatewayFleet {
             program: program.to_owned(),
             build,
             root,
@@ -168,11 +172,11 @@
             ways,
             relays,
             keys,
-            older: Vec::new(),
+            older_processes: Vec::new(),
         }
     }
 
-    pub fn many(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.places.len()
     }
 
@@ -214,13 +218,13 @@
         let disk = format!("  disk = \"{}\"\n", place.folder.display());
         let settles = self
             .build
-            .settles_ms
+            .settle_ms
             .map_or(String::new(), |ms| format!("  settles = \"{ms}ms\"\n"));
         format!(
             "members {{\n  listen = \"{}\"\n  fleet = \"stage\"\n  beat = \"{}ms\"\n  zone = \"z{}\"\n  seeds = [{}]\n  \
              reach = {{ {} }}\n  founders = [{}]\n  keys = [{}]\n{}}}\n",
             place.link.lock().unwrap(),
-            self.build.beat_ms,
+            self.build.heartbeat_ms,
             from % self.build.zones,
             seeds.join(", "),
             reach.join(", "),
@@ -231,15 +235,15 @@
                 .collect::<Vec<_>>()
                 .join(", "),
             if self.build.disk { disk } else { String::new() } + &settles
-        ) + if self.older.contains(&p) {
+        ) + if self.older_processes.contains(&p) {
             ""
         } else {
-            &self.build.more
+            &self.build.extra_hcl
         }
     }
 
     /// Writes the operator's file anew, as its keys and ways are now.
-    pub fn write(&self, p: usize) {
+    pub fn write_operator_file(&self, p: usize) {
         std::fs::write(&self.places[p].file, self.text(p)).unwrap();
     }
 
@@ -250,15 +254,15 @@
         if self.build.relays {
             *self.places[p].link.lock().unwrap() = free();
         }
-        self.write(p);
+        self.write_operator_file(p);
         let agent = start_agent();
-        let _ = agent.responses.send(http_ok(&self.build.known));
+        let _ = agent.responses.send(http_ok(&self.build.known_list));
         let address = gateway::free_address();
         let name = &self.places[p].name;
         let text = gateway::config(
             &address,
             &agent.address,
-            &self.build.known,
+            &self.build.known_list,
             &self.build.settings,
         );
         let text = text.replace("\"name\":\"n0\"", &format!("\"name\":\"{name}\""));
@@ -269,9 +273,9 @@
             &["--log", "json"]
         };
         let started = gateway::start(&text, address, agent, &self.program, words);
-        let mut word = Word::default();
+        let mut word = ObservedState::default();
         started
-            .said
+            .log_lines
             .borrow()
             .iter()
             .for_each(|line| word.take(&parsed(line)));
@@ -280,7 +284,7 @@
     }
 
     pub fn start_all(&mut self) {
-        (0..self.many()).for_each(|p| self.start(p));
+        (0..self.process_count()).for_each(|p| self.start(p));
         if self.build.members && self.build.founders > 0 {
             self.bootstrap(0);
         }
@@ -288,17 +292,17 @@
 
     /// An operator has a new fleet's founders agree on its first layout.
     pub fn bootstrap(&self, p: usize) {
-        let asked = self.asks(p, &["--bootstrap"]);
+        let asked = self.run_members_command(p, &["--bootstrap"]);
         assert!(asked.status.success(), "{asked:?}");
     }
 
     /// A second process under the name of one, with a folder of its own; its place.
-    pub fn start_twin(&mut self, of: usize) -> usize {
+    pub fn start_duplicate(&mut self, of: usize) -> usize {
         let p = self.places.len();
         self.places.push(Place {
             name: self.places[of].name.clone(),
             gateway: None,
-            word: Word::default(),
+            word: ObservedState::default(),
             link: Arc::new(Mutex::new(free())),
             folder: self.root.join(format!("p{p}")),
             file: self.root.join(format!("p{p}.hcl")),
@@ -312,7 +316,7 @@
         self.places[p].gateway.as_ref().expect("it runs")
     }
 
-    pub fn runs(&self, p: usize) -> bool {
+    pub fn is_running(&self, p: usize) -> bool {
         self.places[p].gateway.is_some()
     }
 
@@ -322,7 +326,7 @@
     }
 
     /// SIGKILL, and its folder is gone with it; what it had said can still be read.
-    pub fn take(&mut self, p: usize) -> Gateway {
+    pub fn kill_and_erase_keeping_log(&mut self, p: usize) -> Gateway {
         let mut gateway = self.places[p].gateway.take().expect("it runs");
         let _ = gateway.child.kill();
         let _ = gateway.child.wait();
@@ -331,13 +335,13 @@
     }
 
     /// SIGKILL, and its folder is gone with it.
-    pub fn burn(&mut self, p: usize) {
+    pub fn kill_and_erase(&mut self, p: usize) {
         self.kill(p);
         let _ = std::fs::remove_dir_all(&self.places[p].folder);
     }
 
     /// SIGTERM, until it has ended.
-    pub fn end(&mut self, p: usize) {
+    pub fn shut_down(&mut self, p: usize) {
         if let Some(mut gateway) = self.places[p].gateway.take() {
             gateway.signal("-TERM");
             let _ = gateway.child.wait();
@@ -348,17 +352,17 @@
         self.gateway(p).signal(name);
     }
 
-    pub fn folder(&self, p: usize) -> &Path {
+    pub fn data_dir(&self, p: usize) -> &Path {
         &self.places[p].folder
     }
 
     /// What happens to frames from one to the other.
-    pub fn way(&self, from: usize, to: usize) -> &Way {
+    pub fn link(&self, from: usize, to: usize) -> &LinkDirection {
         &self.ways[from][to]
     }
 
     /// The same on all ways between these two sides, in both directions.
-    pub fn between(&self, one: &[usize], other: &[usize], trouble: Trouble) {
+    pub fn set_faults_between(&self, one: &[usize], other: &[usize], trouble: LinkFaults) {
         for a in one {
             for b in other.iter().filter(|b| a != *b) {
                 self.ways[*a][*b].set(trouble);
@@ -367,15 +371,15 @@
         }
     }
 
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         self.ways
             .iter()
             .flatten()
-            .for_each(|way| way.set(Trouble::default()));
+            .for_each(|way| way.set(LinkFaults::default()));
     }
 
     /// What a process has said by now.
-    pub fn word(&mut self, p: usize) -> &Word {
+    pub fn observed(&mut self, p: usize) -> &ObservedState {
         let place = &mut self.places[p];
         if let Some(gateway) = &place.gateway {
             while let Ok(line) = gateway.log.try_recv() {
@@ -386,13 +390,13 @@
     }
 
     /// Waits, line by line, until a process has said so much; how long that took. None after a long while.
-    pub fn waits(
+    pub fn wait_for_state(
         &mut self,
         p: usize,
-        enough: impl Fn(&Word) -> bool,
+        enough: impl Fn(&ObservedState) -> bool,
     ) -> Option<std::time::Duration> {
         let began = Instant::now();
-        self.word(p);
+        self.observed(p);
         let place = &mut self.places[p];
         while !enough(&place.word) {
             let gateway = place.gateway.as_ref()?;
@@ -406,8 +410,8 @@
     }
 
     /// The same; a test ends where it does not come.
-    pub fn until(&mut self, p: usize, what: &str, enough: impl Fn(&Word) -> bool) {
-        if self.waits(p, enough).is_none() {
+    pub fn expect_state(&mut self, p: usize, what: &str, enough: impl Fn(&ObservedState) -> bool) {
+        if self.wait_for_state(p, enough).is_none() {
             panic!(
                 "{} has not come to: {what}; it says {:?}",
                 self.name(p),
@@ -417,7 +421,7 @@
     }
 
     /// Until each of these sees all the others of them, and goes by a layout of at least this version.
-    pub fn meet(&mut self, who: &[usize], version: u64) {
+    pub fn wait_for_layout(&mut self, who: &[usize], version: u64) {
         let names: Vec<String> = who.iter().map(|p| self.places[*p].name.clone()).collect();
         for p in who {
             let others: Vec<String> = names
@@ -425,19 +429,19 @@
                 .filter(|name| **name != self.places[*p].name)
                 .cloned()
                 .collect();
-            self.until(*p, &format!("layout {version} and all here"), |word| {
-                word.layout >= version && others.iter().all(|other| word.sees(other, "here"))
+            self.expect_state(*p, &format!("layout {version} and all here"), |word| {
+                word.layout >= version && others.iter().all(|other| word.has_status(other, "here"))
             });
         }
     }
 
     /// A figure of the process's own counters as a member.
-    pub fn counted(&mut self, p: usize, name: &str) -> u64 {
-        self.counted_of(p, "member", name)
+    pub fn member_counter(&mut self, p: usize, name: &str) -> u64 {
+        self.counter(p, "member", name)
     }
 
     /// A figure of what it counts under that head.
-    pub fn counted_of(&mut self, p: usize, head: &str, name: &str) -> u64 {
+    pub fn counter(&mut self, p: usize, head: &str, name: &str) -> u64 {
         self.signal(p, "-USR1");
         let gateway = self.gateway(p);
         let mut lines = Vec::new();
@@ -446,7 +450,7 @@
             let value = parsed(&line);
             if value["msg"] == head && value["all"].is_string() {
                 let all = value["all"].as_str().unwrap_or_default().to_owned();
-                break gateway::counted(&all, name)
+                break gateway::counter_value(&all, name)
                     .and_then(|n| n.parse().ok())
                     .unwrap_or(0);
             }
@@ -457,7 +461,7 @@
     }
 
     /// The program's own command line against a process.
-    pub fn asks(&self, p: usize, words: &[&str]) -> Output {
+    pub fn run_members_command(&self, p: usize, words: &[&str]) -> Output {
         let file = self.places[p].file.display().to_string();
         let mut command = Command::new(&self.program);
         gateway::output(
@@ -469,7 +473,7 @@
     }
 
     /// Any of its sub-commands that ask a running member.
-    pub fn runs_words(&self, p: usize, words: &[&str]) -> Output {
+    pub fn run_command(&self, p: usize, words: &[&str]) -> Output {
         let file = self.places[p].file.display().to_string();
         gateway::output(
             Command::new(&self.program)
@@ -479,7 +483,7 @@
     }
 
     /// Until this process's copies go by a layout that counts alone, and all its holders promise what they answer.
-    pub fn settles(&mut self, p: usize) {
+    pub fn wait_until_settled(&mut self, p: usize) {
         let began = Instant::now();
         loop {
             let names = [
@@ -488,7 +492,7 @@
                 "copies.whole",
                 "copies.unseen",
             ];
-            let [version, base, whole, unseen] = names.map(|n| self.counted_of(p, "copies", n));
+            let [version, base, whole, unseen] = names.map(|n| self.counter(p, "copies", n));
             if version > 0 && base == version && whole >= version && unseen == 0 {
                 return;
             }
@@ -506,7 +510,7 @@
     serde_json::from_str(line).unwrap_or_default()
 }
 
-impl Drop for Stage {
+impl Drop for GatewayFleet {
     fn drop(&mut self) {
         self.places
             .iter_mut()
--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -21,11 +21,11 @@
 
 pub struct Gateway {
     pub child: Child,
-    pub file: PathBuf,
+    pub config_path: PathBuf,
     pub address: String,
     pub log: Receiver<String>,
     /// Lines of the log that were passed over or found.
-    pub said: RefCell<Vec<String>>,
+    pub log_lines: RefCell<Vec<String>>,
     pub agent: Agent,
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// Begins a process; it has become that program once this returns.
-pub fn begin(command: &mut Command) -> Child {
+pub fn spawn_process(command: &mut Command) -> Child {
     let _held = beginning();
     command.spawn().unwrap()
 }
@@ -63,7 +63,7 @@
 
 /// A gateway of this program that has these servers on its list, in this memory (MiB) and with so many
 /// descriptors; `words` go behind `serve`.
-pub fn gateway_with(
+pub fn start_with_servers(
     program: &Path,
     servers: &[(&Server, &str)],
     settings: &str,
@@ -74,11 +74,11 @@
         .iter()
         .map(|(s, mode)| (s.address.as_str(), *mode))
         .collect();
-    gateway_at(program, &servers, settings, limits, words)
+    start_with_addresses(program, &servers, settings, limits, words)
 }
 
 /// The same, by the servers' addresses.
-pub fn gateway_at(
+pub fn start_with_addresses(
     program: &Path,
     servers: &[(&str, &str)],
     settings: &str,
@@ -138,7 +138,7 @@
         .args(words)
         .env("NODE_CONFIG", &file)
         .env("NODE_DISCOVERY", &agent.address);
-    let mut child = begin(command.stderr(Stdio::piped()));
+    let mut child = spawn_process(command.stderr(Stdio::piped()));
     let (tell, log) = mpsc::channel();
     let stderr = BufReader::new(child.stderr.take().unwrap());
     let mut copy = log_copy(&name, child.id());
@@ -152,19 +152,19 @@
     });
     let gateway = Gateway {
         child,
-        file,
+        config_path: file,
         address,
         log,
-        said: RefCell::default(),
+        log_lines: RefCell::default(),
         agent,
     };
-    gateway.logged("\"serving\"");
+    gateway.wait_for_log("\"serving\"");
     gateway
 }
 
 /// Runs a process to its end, and what it has written.
 pub fn output(command: &mut Command) -> Output {
-    begin(
+    spawn_process(
         command
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -175,7 +175,7 @@
 }
 
 /// What a line of name=count says of a name; a value may stand in quotes.
-pub fn counted<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+pub fn counter_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let mut words = line.split([' ', '"']);
     let value = words.find_map(|word| word.strip_prefix(name)?.strip_prefix('='))?;
     if value.is_empty() {
@@ -186,15 +186,15 @@
 }
 
 impl Gateway {
-    pub fn logged(&self, what: &str) -> String {
+    pub fn wait_for_log(&self, what: &str) -> String {
         loop {
             let line = self.log.recv_timeout(WAIT_LIMIT).unwrap_or_else(|end| {
                 panic!(
                     "{what}: {end}; the program has said {:?}",
-                    self.said.borrow()
+                    self.log_lines.borrow()
                 )
             });
-            self.said.borrow_mut().push(line.clone());
+            self.log_lines.borrow_mut().push(line.clone());
             if line.contains(what) {
                 return line;
             }
@@ -203,17 +203,17 @@
 
     pub fn counters(&self) -> String {
         self.signal("-USR1");
-        self.logged("event=\"counters\"")
+        self.wait_for_log("event=\"counters\"")
     }
 
     pub fn signal(&self, name: &str) {
-        begin(Command::new("kill").args([name, &self.child.id().to_string()]))
+        spawn_process(Command::new("kill").args([name, &self.child.id().to_string()]))
             .wait()
             .unwrap();
     }
 
     /// Stops it where it stands, until it is told to go on; returns once it has stopped.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/status", self.child.id());
         while !std::fs::read_to_string(&status)
@@ -225,7 +225,7 @@
     }
 
     /// Waits until the counters say so.
-    pub fn until_counted(&self, what: &str) {
+    pub fn wait_for_counter(&self, what: &str) {
         let began = Instant::now();
         loop {
             let counters = self.counters();
@@ -237,21 +237,21 @@
     }
 
     /// Ends it in order and returns what its counters say of these names.
-    pub fn end(mut self, names: &[&str]) -> String {
+    pub fn shut_down(mut self, names: &[&str]) -> String {
         self.signal("-TERM");
-        let line = self.logged("event=\"counters\"");
+        let line = self.wait_for_log("event=\"counters\"");
         assert!(self.child.wait().unwrap().success());
         names
             .iter()
-            .map(|name| format!("{name}={} ", counted(&line, name).unwrap_or("?")))
+            .map(|name| format!("{name}={} ", counter_value(&line, name).unwrap_or("?")))
             .collect()
     }
 
     /// Ends it in order and returns what it says of its peers.
     /// An older gateway says nothing of them: then its counters.
-    pub fn peers_at_end(&mut self, older: bool) -> String {
+    pub fn shut_down_for_peers_line(&mut self, older: bool) -> String {
         self.signal("-TERM");
-        let line = self.logged(if older {
+        let line = self.wait_for_log(if older {
             "event=\"counters\""
         } else {
             "event=\"peers\""
@@ -267,7 +267,7 @@
         stream
     }
 
-    pub fn client(&self) -> Client {
+    pub fn connect_client(&self) -> Client {
         let mut stream = self.connect();
         stream.write_all(STARTUP_MESSAGE).unwrap();
         let mut client = Client { stream };
@@ -280,6 +280,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/relay.rs
@@ -12,29 +12,29 @@
 
 /// What is done to frames in one direction; parts of all frames, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Trouble {
+pub struct LinkFaults {
     /// Nothing comes through, and nothing says so.
-    pub cut: bool,
-    pub lose: f64,
-    pub double: f64,
+    pub partitioned: bool,
+    pub loss: f64,
+    pub duplication: f64,
     /// Goes out behind the next one.
     pub reorder: f64,
     /// A bit of it is another.
-    pub spoil: f64,
+    pub corruption: f64,
     /// Each is held for so long.
-    pub hold: Duration,
+    pub delay: Duration,
 }
 
 /// One direction between two processes, over whichever connection it goes.
 #[derive(Clone, Default)]
-pub struct Way(Arc<Mutex<Trouble>>);
+pub struct LinkDirection(Arc<Mutex<LinkFaults>>);
 
-impl Way {
-    pub fn set(&self, trouble: Trouble) {
+impl LinkDirection {
+    pub fn set(&self, trouble: LinkFaults) {
         *self.0.lock().unwrap() = trouble;
     }
 
-    pub fn get(&self) -> Trouble {
+    pub fn get(&self) -> LinkFaults {
         *self.0.lock().unwrap()
     }
 }
@@ -45,7 +45,12 @@
 const WAITS: Duration = Duration::from_secs(30);
 
 /// Accepts for the process at `to`, whose address may change; `forth` and `back` are the directions.
-pub fn relay(to: Arc<Mutex<SocketAddr>>, forth: Way, back: Way, seed: u64) -> SocketAddr {
+pub fn start_relay(
+    to: Arc<Mutex<SocketAddr>>,
+    forth: LinkDirection,
+    back: LinkDirection,
+    seed: u64,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -73,7 +78,12 @@
     address
 }
 
-fn carry(mut from: &TcpStream, mut to: &TcpStream, way: &Way, mut chance: Rng) -> Option<()> {
+fn carry(
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    way: &LinkDirection,
+    mut chance: Rng,
+) -> Option<()> {
     let _ = to.set_nodelay(true);
     let mut behind: Option<Vec<u8>> = None;
     loop {
@@ -87,14 +97,14 @@
         frame[..4].copy_from_slice(&head);
         from.read_exact(&mut frame[4..]).ok()?;
         let came = Instant::now();
-        while came.elapsed() < way.get().hold.min(WAITS) {
+        while came.elapsed() < way.get().delay.min(WAITS) {
             sleep(Duration::from_millis(5));
         }
         let trouble = way.get();
-        if trouble.cut || chance.f64() < trouble.lose {
+        if trouble.partitioned || chance.f64() < trouble.loss {
             continue;
         }
-        if chance.f64() < trouble.spoil && length > 0 {
+        if chance.f64() < trouble.corruption && length > 0 {
             let at = 4 + chance.usize(..length);
             frame[at] ^= 1 << chance.u8(..8);
         }
@@ -103,7 +113,7 @@
             continue;
         }
         to.write_all(&frame).ok()?;
-        if chance.f64() < trouble.double {
+        if chance.f64() < trouble.duplication {
             to.write_all(&frame).ok()?;
         }
         if let Some(frame) = behind.take() {
