--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -11,8 +11,10 @@
 use leverpoint_cluster_model::set::Build as Machines;
 use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::gateway::spawn_process;
-use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
 use leverpoint_test_support::relay::LinkFaults;
+use leverpoint_test_support::replica_set::{
+    IDEAL_SET, ReplicaSet, ReplicaSetMember, start_replica_set,
+};
 use leverpoint_test_support::wire::{WAIT_LIMIT, endpoint_list, http_ok, target, unix_ms};
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -39,8 +41,8 @@
 
 struct Fleet {
     stage: GatewayFleet,
-    set: Arc<Set>,
-    members: Vec<Member>,
+    set: Arc<ReplicaSet>,
+    members: Vec<ReplicaSetMember>,
     ids: usize,
 }
 
@@ -76,10 +78,10 @@
         waits,
         starts,
     } = timing;
-    let (set, members, known) = serving(
+    let (set, members, known) = start_replica_set(
         Machines {
             lag: 1_000,
-            ..PLAIN
+            ..IDEAL_SET
         },
         3,
         Duration::from_millis(1),
@@ -166,12 +168,12 @@
         );
         let heard = self.ask(p, &text);
         assert!(heard.starts_with('T'), "{heard}");
-        let row = self.set.take_read(&id).expect("it was read");
+        let row = self.set.take_read_origin(&id).expect("it was read");
         assert!(
-            row.at
+            row.position
                 >= self
                     .set
-                    .wrote(&format!("64-{session}"))
+                    .last_write_position(&format!("64-{session}"))
                     .expect("it was written"),
             "{session} at {p}"
         );
@@ -219,7 +221,7 @@
     }
 
     fn effects(&self) -> (u64, u64) {
-        self.set.effects()
+        self.set.effect_counts()
     }
 }
 
@@ -445,7 +447,7 @@
         .send(http_ok(&endpoint_list(8, true, &targets)))
         .unwrap();
     // Its set has another primary than all lists say, and one gateway has heard so.
-    fleet.set.hand_over(2);
+    fleet.set.switch_over(2);
     fleet.writes(1, "s", "k");
     let began = Instant::now();
     loop {
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -113,13 +113,13 @@
     };
     let before = lists("up", "read-write", "read-only");
     let capacity = Capacity {
-        call: Duration::from_millis(250),
-        refusal: Duration::from_millis(10),
-        longest_queue: Duration::from_secs(2),
+        call_cost: Duration::from_millis(250),
+        refusal_cost: Duration::from_millis(10),
+        max_queue_wait: Duration::from_secs(2),
     };
     let discovery = Discovery::new(capacity, 7, &before);
     let known = leverpoint_test_support::wire::endpoint_list(7, true, &before);
-    let addresses: Vec<_> = (0..12).map(|_| discovery.address()).collect();
+    let addresses: Vec<_> = (0..12).map(|_| discovery.add_gateway()).collect();
     let starts = addresses.iter().map(|(address, _)| {
         let (address, known) = (address.clone(), known.clone());
         thread::spawn(move || gateway(&address, &known, "on_request"))
@@ -129,11 +129,11 @@
         .into_iter()
         .map(|start| start.join().unwrap())
         .collect();
-    let changed = discovery.change(8, &lists("draining", "read-only", "read-write"));
+    let changed = discovery.set_targets(8, &lists("draining", "read-only", "read-write"));
     thread::sleep((changed + COUNTS_AS_TOLD).saturating_duration_since(Instant::now()));
     let told = addresses
         .iter()
-        .filter(|(_, caller)| discovery.told(*caller, 8).is_some())
+        .filter(|(_, caller)| discovery.first_written_at(*caller, 8).is_some())
         .count();
     let refusals: usize = addresses
         .iter()
@@ -173,12 +173,12 @@
     let one = start_server("read-write", always_row("one"));
     let targets = [target("s0", &one.address, "up", "read-write")];
     let capacity = Capacity {
-        call: Duration::from_millis(1),
-        refusal: Duration::from_millis(1),
-        longest_queue: Duration::from_secs(2),
+        call_cost: Duration::from_millis(1),
+        refusal_cost: Duration::from_millis(1),
+        max_queue_wait: Duration::from_secs(2),
     };
     let discovery = Discovery::new(capacity, 7, &targets);
-    let (address, caller) = discovery.address();
+    let (address, caller) = discovery.add_gateway();
     let gateway = gateway(
         &address,
         &leverpoint_test_support::wire::endpoint_list(7, true, &targets),
@@ -188,7 +188,7 @@
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     let refuses = Instant::now();
     discovery.refuse_all(true);
-    assert!(discovery.refused(caller, 1, COUNTS_AS_TOLD));
+    assert!(discovery.wait_for_refusals(caller, 1, COUNTS_AS_TOLD));
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     thread::sleep(
         (refuses + COUNTS_AS_TOLD + DRAIN_GRACE).saturating_duration_since(Instant::now()),
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -6,7 +6,9 @@
 use leverpoint_cluster_model::set::Build;
 use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::gateway::{self, Gateway};
-use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
+use leverpoint_test_support::replica_set::{
+    IDEAL_SET, ReplicaSet, ReplicaSetMember, start_replica_set,
+};
 use leverpoint_test_support::wire::http_ok;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -23,11 +25,11 @@
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
 /// A set whose replicas are ten minutes behind, so that only its primary has what was written just now.
-fn set() -> (std::sync::Arc<Set>, Vec<Member>, String) {
-    serving(
+fn set() -> (std::sync::Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
+    start_replica_set(
         Build {
             lag: 6_000_000,
-            ..PLAIN
+            ..IDEAL_SET
         },
         3,
         Duration::from_millis(1),
@@ -84,8 +86,8 @@
             .run_statement(&read("r1", ""))
             .starts_with('T')
     );
-    let row = set.take_read("r1").unwrap();
-    assert!(row.at >= set.wrote("64-p").unwrap() && row.by_primary);
+    let row = set.take_read_origin("r1").unwrap();
+    assert!(row.position >= set.last_write_position("64-p").unwrap() && row.by_primary);
     let again = start(&known, &follows);
     assert!(
         again
@@ -93,7 +95,9 @@
             .run_statement(&read("r2", ""))
             .starts_with('T')
     );
-    assert!(set.take_read("r2").unwrap().at >= set.wrote("64-p").unwrap());
+    assert!(
+        set.take_read_origin("r2").unwrap().position >= set.last_write_position("64-p").unwrap()
+    );
     assert_eq!(
         other.shut_down(&["answered", "failed", "throttled"]),
         "answered=1 failed=0 throttled=0 "
@@ -131,14 +135,14 @@
             .run_statement(&read("r1", ""))
             .starts_with('T')
     );
-    assert!(set.take_read("r1").unwrap().by_primary);
+    assert!(set.take_read_origin("r1").unwrap().by_primary);
     assert!(
         other
             .connect_client()
             .run_statement(&read("r2", "").replace("64-p", "64-q"))
             .starts_with('T')
     );
-    assert!(!set.take_read("r2").unwrap().by_primary);
+    assert!(!set.take_read_origin("r2").unwrap().by_primary);
     drop(other);
     std::fs::remove_file(follows).unwrap();
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -7,12 +7,14 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-use leverpoint_test_support::crowd::{Asks, Crowd, Habit, Seen};
 use leverpoint_test_support::gateway::{self as stands, Gateway};
 use leverpoint_test_support::pace::Pace;
 use leverpoint_test_support::server::{
     Server, ServerAction, always_row, next_statement, start_server,
 };
+use leverpoint_test_support::slow_clients::{
+    ClientBehavior, ClientCounters, RequestSpec, SlowClients,
+};
 use leverpoint_test_support::wire::{insert, query_message, select};
 
 /// Client timeouts near enough that what is past them can be waited for, targets far from both.
@@ -44,9 +46,9 @@
     "v".repeat(60_000)
 }
 
-fn asks(length: usize) -> Asks {
+fn asks(length: usize) -> RequestSpec {
     let (group, tenant, timeout) = ("short".into(), "venue".into(), Duration::from_millis(900));
-    Asks {
+    RequestSpec {
         group,
         tenant,
         set: 2,
@@ -85,15 +87,15 @@
     for _ in 0..20 {
         assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &vec![Habit::NeverReads; many],
+        &vec![ClientBehavior::NeverReads; many],
         &asks(60_000),
         &seen,
         1 << 20,
     );
-    while seen.asked.load(Relaxed) < 2 * many as u64 {
+    while seen.requests.load(Relaxed) < 2 * many as u64 {
         assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
     drop(crowd);
@@ -199,9 +201,12 @@
 fn a_stalled_client_is_evicted_once_its_answers_have_expired() {
     let primary = start_server("read-write", always_row(&long_value()));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(Seen::default());
-    let habits = [Habit::Stops(20_000, Duration::from_secs(60))];
-    let crowd = Crowd::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
+    let seen = Arc::new(ClientCounters::default());
+    let habits = [ClientBehavior::PausesReading(
+        20_000,
+        Duration::from_secs(60),
+    )];
+    let crowd = SlowClients::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
     let line = gateway.wait_for_log("event=\"client connection evicted\"");
     assert!(
         line.contains("why=\"too slow\"") && line.contains("state=\"Stalled\""),
@@ -216,10 +221,10 @@
 fn clients_that_send_half_a_statement_get_an_error_and_delay_nobody() {
     let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(Seen::default());
-    let mut habits = vec![Habit::HalfSays; 40];
-    habits.extend([Habit::Writes(1, Duration::from_millis(50)); 20]);
-    let crowd = Crowd::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
+    let seen = Arc::new(ClientCounters::default());
+    let mut habits = vec![ClientBehavior::SendsHalfStatement; 40];
+    habits.extend([ClientBehavior::WritesInPieces(1, Duration::from_millis(50)); 20]);
+    let crowd = SlowClients::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
     // One more of them, to hear what it is told.
     let mut half = gateway.connect_client();
     half.send(&query_message(&select("view"))[..40]);
@@ -265,10 +270,10 @@
         (32, 256),
         &[],
     );
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &[Habit::NeverReads; 60],
+        &[ClientBehavior::NeverReads; 60],
         &asks(60_000),
         &seen,
         1 << 20,
@@ -289,10 +294,10 @@
         (32, 256),
         &["--operator", &path],
     );
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &[Habit::NeverReads; 30],
+        &[ClientBehavior::NeverReads; 30],
         &asks(60_000),
         &seen,
         1 << 20,
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -14,7 +14,7 @@
 use hdrhistogram::Histogram;
 use leverpoint_test_support::client::{ResponseOutcome, classify_response};
 use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
-use leverpoint_test_support::member::{Set, serving};
+use leverpoint_test_support::replica_set::{ReplicaSet, start_replica_set};
 use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -89,7 +89,7 @@
 }
 
 struct Lane<'a> {
-    set: &'a Set,
+    set: &'a ReplicaSet,
     asked: &'a Asked,
     stage: GatewayFleet,
     chance: Rng,
@@ -189,7 +189,7 @@
     }
 
     fn looks(&mut self, reader: usize, session: &str, promised: bool) {
-        let Some(wrote) = self.set.wrote(session) else {
+        let Some(wrote) = self.set.last_write_position(session) else {
             return;
         };
         let began = Instant::now();
@@ -200,14 +200,14 @@
         };
         let row = self
             .command(reader, &read)
-            .and_then(|id| self.set.take_read(&id));
+            .and_then(|id| self.set.take_read_origin(&id));
         let Some(row) = row else {
             self.figures.failed += 1;
             return;
         };
         self.times
             .saturating_record(began.elapsed().as_micros() as u64);
-        let missing = row.at < wrote;
+        let missing = row.position < wrote;
         self.figures.missing += usize::from(missing);
         self.figures.promises_broken += usize::from(missing && promised);
         self.primary += usize::from(row.by_primary);
@@ -216,7 +216,7 @@
 }
 
 fn tries(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let many = if asked.short {
         asked.tries.min(150)
     } else {
@@ -267,7 +267,7 @@
             let mut chance = Rng::with_seed(asked.seed);
             while !over.load(Relaxed) {
                 thread::sleep(Duration::from_millis(chance.u64(2_000..6_000)));
-                set.hand_over(chance.usize(..MEMBERS));
+                set.switch_over(chance.usize(..MEMBERS));
             }
         });
         let lanes = lanes
@@ -296,7 +296,7 @@
             needless + lane.needless,
         );
     }
-    figures.keys_applied_twice = set.effects().0;
+    figures.keys_applied_twice = set.effect_counts().0;
     let share = |part: usize, of: usize| part as f64 / of.max(1) as f64;
     figures.unpromised_share = 1.0 - share(figures.promises, repeats);
     figures.unclear_share = share(unclear, repeats);
@@ -312,7 +312,7 @@
 /// Writes through a fleet that copies and through one that does not, in turns, by as many clients as play at a time; the
 /// p99 of the one over the other's.
 fn beside(asked: &Asked, program: &Path, clients: usize) -> Result<f64, String> {
-    let (_set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (_set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let stages: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
@@ -403,7 +403,7 @@
 
 /// In service, with nothing lost: what a session's read costs where any gateway may have taken its reports.
 fn players(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let mut stage = GatewayFleet::new(program, build(&known, true, asked.without, asked.seed));
     stage.start_all();
     if !asked.without {
@@ -415,7 +415,7 @@
         .collect();
     let over = AtomicBool::new(false);
     let (all, missing) = thread::scope(|scope| {
-        let (set, addresses, over): (&Set, &[String], _) = (&set, &addresses, &over);
+        let (set, addresses, over): (&ReplicaSet, &[String], _) = (&set, &addresses, &over);
         let players: Vec<_> = (0..PLAYERS)
             .map(|n| scope.spawn(move || player(n, addresses, set, over)))
             .collect();
@@ -460,7 +460,7 @@
 fn player(
     n: usize,
     addresses: &[String],
-    set: &Set,
+    set: &ReplicaSet,
     over: &AtomicBool,
 ) -> (Vec<(f64, bool)>, usize) {
     let (mut rows, mut missing, mut chance, mut ids) = (Vec::new(), 0, Rng::with_seed(n as u64), 0);
@@ -472,7 +472,7 @@
     while !over.load(Relaxed) {
         thread::sleep(Duration::from_millis(chance.u64(20..120)));
         ids += 1;
-        let (id, wrote) = (format!("q{n}n{ids}"), set.wrote(&session));
+        let (id, wrote) = (format!("q{n}n{ids}"), set.last_write_position(&session));
         let write = wrote.is_none() || chance.u8(..4) == 0;
         let text = stage::of_session(&session, &id, write);
         let began = Instant::now();
@@ -482,8 +482,8 @@
         };
         let answered =
             classify_response(&heard, &expected_value(&id, 64)) == ResponseOutcome::Answered;
-        if let Some(row) = set.take_read(&id).filter(|_| answered && !write) {
-            missing += usize::from(wrote.is_some_and(|wrote| row.at < wrote));
+        if let Some(row) = set.take_read_origin(&id).filter(|_| answered && !write) {
+            missing += usize::from(wrote.is_some_and(|wrote| row.position < wrote));
             rows.push((began.elapsed().as_secs_f64() * 1e3, row.needless));
         }
     }
@@ -504,7 +504,7 @@
     } else {
         asked.records
     };
-    let (_set, _members, known) = serving(BUILD, MEMBERS, Duration::from_micros(50));
+    let (_set, _members, known) = start_replica_set(BUILD, MEMBERS, Duration::from_micros(50));
     let mut stage = GatewayFleet::new(program, build(&known, true, false, asked.seed));
     stage.start_all();
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/members.rs
@@ -14,8 +14,8 @@
 use leverpoint_membership::{MembershipConfig, Ticks};
 use leverpoint_test_support::client::{ResponseOutcome, classify_response};
 use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
-use leverpoint_test_support::member::{PLAIN, serving};
 use leverpoint_test_support::relay::LinkFaults;
+use leverpoint_test_support::replica_set::{IDEAL_SET, start_replica_set};
 use leverpoint_test_support::values::expected_value;
 use leverpoint_test_support::wire::endpoint_list;
 use plotters::prelude::*;
@@ -279,7 +279,7 @@
 
 /// Commands through a gateway that is a member and through one that is none, in turns.
 fn beside(asked: &Asked, program: &Path) -> Result<f64, String> {
-    let (_set, _members, known) = serving(PLAIN, 3, Duration::from_millis(2));
+    let (_set, _members, known) = start_replica_set(IDEAL_SET, 3, Duration::from_millis(2));
     let stages: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
--- a/crates/loadtest/src/price.rs
+++ b/crates/loadtest/src/price.rs
@@ -12,7 +12,7 @@
 use leverpoint_test_support::client::ResponseOutcome;
 use leverpoint_test_support::client::classify_response;
 use leverpoint_test_support::gateway::Gateway;
-use leverpoint_test_support::member::{Made, Set, serving};
+use leverpoint_test_support::replica_set::{ReadOrigin, ReplicaSet, start_replica_set};
 use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
@@ -41,13 +41,13 @@
 const ENDS: u64 = 22;
 
 /// When a read was asked, how it was made, how long it took.
-type Row = (f64, Made, f64);
+type Row = (f64, ReadOrigin, f64);
 
 /// A player: a report, then looks at it, now and then, always through the same gateway.
 fn player(
     n: usize,
     addresses: &[Mutex<String>],
-    set: &Set,
+    set: &ReplicaSet,
     over: &AtomicBool,
     began: Instant,
 ) -> (Vec<Row>, usize) {
@@ -68,7 +68,7 @@
         };
         ids += 1;
         let id = format!("p{n}n{ids}");
-        let wrote = set.wrote(&session);
+        let wrote = set.last_write_position(&session);
         let write = wrote.is_none() || chance.u8(..4) == 0;
         let text = stage::of_session(&session, &id, write);
         let asked = Instant::now();
@@ -80,8 +80,8 @@
             classify_response(&heard, &expected_value(&id, 64)),
             ResponseOutcome::Answered
         );
-        if let Some(row) = set.take_read(&id).filter(|_| answered && !write) {
-            missing += usize::from(wrote.is_some_and(|wrote| row.at < wrote));
+        if let Some(row) = set.take_read_origin(&id).filter(|_| answered && !write) {
+            missing += usize::from(wrote.is_some_and(|wrote| row.position < wrote));
             rows.push((
                 (asked - began).as_secs_f64(),
                 row,
@@ -94,7 +94,7 @@
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
     let program = stage::program(&asked.program)?;
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|n| sessions::start(asked, &program, &known, &format!("price-{n}")))
         .collect();
@@ -104,7 +104,7 @@
         .collect();
     let (over, began) = (AtomicBool::new(false), Instant::now());
     let (rows, missing) = thread::scope(|scope| {
-        let (set, addresses, over): (&Set, _, _) = (&set, &addresses[..], &over);
+        let (set, addresses, over): (&ReplicaSet, _, _) = (&set, &addresses[..], &over);
         let players: Vec<_> = (0..CLIENTS)
             .map(|n| scope.spawn(move || player(n, addresses, set, over, began)))
             .collect();
@@ -133,7 +133,7 @@
             missing,
         )
     });
-    let share = |from: f64, to: f64, of: &dyn Fn(&Made) -> bool| {
+    let share = |from: f64, to: f64, of: &dyn Fn(&ReadOrigin) -> bool| {
         let within: Vec<_> = rows
             .iter()
             .filter(|(at, ..)| (from..to).contains(at))
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::sync::atomic::Ordering::Relaxed;
 
-use leverpoint_test_support::crowd::Seen;
+use leverpoint_test_support::slow_clients::ClientCounters;
 use plotters::prelude::*;
 
 use crate::record::{Asked, Figures, Record};
@@ -17,7 +17,7 @@
     asked: &Asked,
     periods: &[(bool, Record)],
     figures: &Figures,
-    seen: &Seen,
+    seen: &ClientCounters,
     peers: &str,
 ) -> Result<(), Box<dyn Error>> {
     let name = if asked.without {
@@ -95,7 +95,7 @@
     asked: &Asked,
     periods: &[(bool, Record)],
     figures: &Figures,
-    seen: &Seen,
+    seen: &ClientCounters,
     peers: &str,
 ) -> Result<String, std::fmt::Error> {
     let mut out = String::from(
@@ -141,12 +141,12 @@
         "\nSlow clients: {} connections, {} commands, {} answered, {} throttled, {} failed, {} let go past their \
          client timeout, {} crossed a connection's end, {} lost, {} wrong.\n",
         count(&seen.connected),
-        count(&seen.asked),
+        count(&seen.requests),
         count(&seen.answered),
         count(&seen.throttled),
         count(&seen.failed),
-        count(&seen.let_go),
-        count(&seen.crossed),
+        count(&seen.ended_after_timeout),
+        count(&seen.ended_before_response),
         count(&seen.lost),
         count(&seen.wrong)
     )?;
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -15,7 +15,7 @@
 use leverpoint_test_support::client::ResponseOutcome;
 use leverpoint_test_support::client::{classify_response, notice_detail};
 use leverpoint_test_support::gateway::Gateway;
-use leverpoint_test_support::member::{PLAIN, Set, serving};
+use leverpoint_test_support::replica_set::{IDEAL_SET, ReplicaSet, start_replica_set};
 use leverpoint_test_support::values::expected_value;
 use serde::Serialize;
 
@@ -59,7 +59,10 @@
 const LANES: usize = 6;
 pub(crate) const MEMBERS: usize = 4;
 /// Replication within a data centre, on the slow side.
-pub(crate) const BUILD: Build = Build { lag: 150, ..PLAIN };
+pub(crate) const BUILD: Build = Build {
+    lag: 150,
+    ..IDEAL_SET
+};
 pub(crate) const WORK: Duration = Duration::from_millis(2);
 
 /// What one lane has measured.
@@ -71,7 +74,7 @@
 }
 
 struct Lane<'a> {
-    set: &'a Set,
+    set: &'a ReplicaSet,
     program: &'a Path,
     known: &'a str,
     asked: &'a Asked,
@@ -128,7 +131,7 @@
     }
 
     fn read(&mut self, nth: usize, session: &str, token: Option<&str>) {
-        let Some(wrote) = self.set.wrote(session) else {
+        let Some(wrote) = self.set.last_write_position(session) else {
             return;
         };
         let after = token
@@ -143,13 +146,13 @@
         let answered = self.command(nth, &text, 64);
         let took = began.elapsed().as_micros() as u64;
         self.record.figures.reads += 1;
-        let row = answered.and_then(|(_, id)| self.set.take_read(&id));
+        let row = answered.and_then(|(_, id)| self.set.take_read_origin(&id));
         let Some(row) = row else {
             self.record.figures.failed += 1;
             return;
         };
         self.record.times.saturating_record(took);
-        self.record.figures.missing += usize::from(row.at < wrote);
+        self.record.figures.missing += usize::from(row.position < wrote);
         self.record.primary += usize::from(row.by_primary);
         self.record.needless += usize::from(row.needless);
     }
@@ -204,7 +207,7 @@
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
     let program = stage::program(&asked.program)?;
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let tries = if asked.short {
         asked.tries.min(400)
     } else {
@@ -220,7 +223,7 @@
             needless: 0,
         };
         let chance = Rng::with_seed(asked.seed * 100 + name as u64);
-        let (set, program): (&Set, &Path) = (&set, &program);
+        let (set, program): (&ReplicaSet, &Path) = (&set, &program);
         let gateways = [None, None];
         let mut lane = Lane {
             set,
@@ -246,7 +249,7 @@
         let lanes: Vec<_> = (0..LANES)
             .map(|name| scope.spawn(move || lane(name)))
             .collect();
-        let (set, over): (Arc<Set>, &AtomicBool) = (set.clone(), &over);
+        let (set, over): (Arc<ReplicaSet>, &AtomicBool) = (set.clone(), &over);
         let mut chance = Rng::with_seed(asked.seed);
         // Meanwhile replicas stand still for a while, and the primary changes every few seconds.
         let trouble = scope.spawn(move || {
@@ -254,14 +257,14 @@
             while !over.load(Relaxed) {
                 let member = chance.usize(..MEMBERS);
                 if set.primary() != Some(member) {
-                    set.hold_up(member, true);
+                    set.set_replication_paused(member, true);
                 }
                 thread::sleep(Duration::from_millis(chance.u64(100..600)));
-                set.hold_up(member, false);
+                set.set_replication_paused(member, false);
                 thread::sleep(Duration::from_millis(chance.u64(100..600)));
                 beat += 1;
                 if beat % 4 == 0 {
-                    set.hand_over(chance.usize(..MEMBERS));
+                    set.switch_over(chance.usize(..MEMBERS));
                 }
             }
         });
--- a/crates/loadtest/src/slow.rs
+++ b/crates/loadtest/src/slow.rs
@@ -9,10 +9,14 @@
 use std::time::{Duration, Instant};
 
 use leverpoint_test_support::agent::start_agent;
-use leverpoint_test_support::crowd::{Asks, Crowd, Habit, Seen};
 use leverpoint_test_support::gateway::{self, Gateway};
-use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
 use leverpoint_test_support::pace::Pace;
+use leverpoint_test_support::replica_set::{
+    IDEAL_SET, ReplicaSet, ReplicaSetMember, start_replica_set,
+};
+use leverpoint_test_support::slow_clients::{
+    ClientBehavior, ClientCounters, RequestSpec, SlowClients,
+};
 use leverpoint_test_support::wire::http_ok;
 
 use crate::honest::{Honest, Line};
@@ -30,24 +34,27 @@
 const SETTLES: Duration = Duration::from_millis(2_500);
 
 /// Habits of slow clients, in turns.
-const READERS: [Habit; 5] = [
-    Habit::NeverReads,
-    Habit::Reads(4 << 10),
-    Habit::Reads(9 << 10),
-    Habit::Reads(1),
-    Habit::Stops(32_000, Duration::from_secs(10)),
+const READERS: [ClientBehavior; 5] = [
+    ClientBehavior::NeverReads,
+    ClientBehavior::ReadsAtRate(4 << 10),
+    ClientBehavior::ReadsAtRate(9 << 10),
+    ClientBehavior::ReadsAtRate(1),
+    ClientBehavior::PausesReading(32_000, Duration::from_secs(10)),
+];
+const WRITERS: [ClientBehavior; 2] = [
+    ClientBehavior::SendsHalfStatement,
+    ClientBehavior::WritesInPieces(1, Duration::from_millis(50)),
 ];
-const WRITERS: [Habit; 2] = [Habit::HalfSays, Habit::Writes(1, Duration::from_millis(50))];
 
 struct Stage {
     gateway: Gateway,
-    set: Arc<Set>,
-    members: Vec<Member>,
+    set: Arc<ReplicaSet>,
+    members: Vec<ReplicaSetMember>,
 }
 
 fn set_up(asked: &Asked) -> Result<Stage, String> {
     let program = stage::program(&asked.program)?;
-    let (set, members, known) = serving(PLAIN, 3 + asked.tricklers, WORK);
+    let (set, members, known) = start_replica_set(IDEAL_SET, 3 + asked.tricklers, WORK);
     let (agent, address) = (start_agent(), gateway::free_address());
     let text = gateway::config(&address, &agent.address, &known, SETTINGS)
         .replace(
@@ -111,7 +118,7 @@
     let mut lines: Vec<_> = (0..HONEST)
         .map(|n| Line::new(to, format!("{:x}", 0xa00 + n), chance.u64(..)))
         .collect();
-    let seen = Arc::new(Seen::default());
+    let seen = Arc::new(ClientCounters::default());
     let mut periods: Vec<(bool, Record)> = Vec::new();
     let play = |lines: Vec<Line>, span: Duration| {
         let honest = Honest::start(lines, Instant::now(), span.as_secs() as usize);
@@ -129,17 +136,18 @@
         for member in &stage.members[3..] {
             member.set_pace(Pace::Trickle(1, Duration::from_millis(50)));
         }
-        let habits = |of: &[Habit], n: usize| (0..n).map(|i| of[i % of.len()]).collect::<Vec<_>>();
-        let asks = Asks {
+        let habits =
+            |of: &[ClientBehavior], n: usize| (0..n).map(|i| of[i % of.len()]).collect::<Vec<_>>();
+        let asks = RequestSpec {
             group: "view".into(),
             tenant: "venue".into(),
             set: 2,
             length: LENGTH,
             timeout: TIMEOUT,
         };
-        let readers = Crowd::start(to, &habits(&READERS, asked.readers), &asks, &seen, first);
+        let readers = SlowClients::start(to, &habits(&READERS, asked.readers), &asks, &seen, first);
         first += 0x1_0000;
-        let writers = Crowd::start(to, &habits(&WRITERS, asked.writers), &asks, &seen, first);
+        let writers = SlowClients::start(to, &habits(&WRITERS, asked.writers), &asks, &seen, first);
         first += 0x1_0000;
         let record;
         (record, lines) = play(lines, Duration::from_secs(seconds));
@@ -163,7 +171,7 @@
     );
     let log = stage.gateway.log_lines.borrow().join("\n");
     std::fs::write(asked.out.join("gateway.log"), log).map_err(|e| e.to_string())?;
-    let (twice, _) = stage.set.effects();
+    let (twice, _) = stage.set.effect_counts();
     let sum = |slow: bool| {
         let mut all = Record::new(0);
         let mut seconds = Vec::new();
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -8,7 +8,7 @@
 use leverpoint_cluster_model::Ticks;
 use leverpoint_cluster_model::set::{self, Reply};
 use leverpoint_runtime::{Listener, sleep};
-use leverpoint_test_support::member::{answer, named, word};
+use leverpoint_test_support::replica_set::{comment_value, encode_response, encode_status};
 
 use crate::checker::Outcome;
 use crate::course::{Play, address, facts};
@@ -39,7 +39,7 @@
             let text = String::from_utf8_lossy(&body)
                 .trim_end_matches('\0')
                 .to_owned();
-            let Some(id) = named(&text, "id").map(str::to_owned) else {
+            let Some(id) = comment_value(&text, "id").map(str::to_owned) else {
                 return Ok(());
             };
             // The first part of an id names the gateway whose front its client chose.
@@ -51,7 +51,7 @@
             self.checker.borrow_mut().came(self.now(), &id, gateway, n);
             self.sim
                 .record(EventSource::Machine, (n, &id), || format!("{n} hears {id}"));
-            let wait: Ticks = named(&text, "d")
+            let wait: Ticks = comment_value(&text, "d")
                 .and_then(|d| d.parse::<i64>().ok())
                 .unwrap_or(0)
                 * 10;
@@ -72,7 +72,7 @@
                         self.place.sets.borrow_mut()[set].gives_up(member);
                         (Reply::Full, 0, false)
                     } else {
-                        let group = named(&text, "c").unwrap_or_default().to_owned();
+                        let group = comment_value(&text, "c").unwrap_or_default().to_owned();
                         let (least, most) = work(&group);
                         let takes = self.sim.chance.borrow_mut().i64(least..=most);
                         sleep(Duration::from_micros(takes as u64 * 100)).await;
@@ -81,7 +81,7 @@
                         let owed = self.checker.borrow().owed(&id).filter(|_| checks);
                         let ask = set::Ask {
                             write,
-                            key: named(&text, "k"),
+                            key: comment_value(&text, "k"),
                             owed,
                         };
                         self.place.sets.borrow_mut()[set].works(self.now(), member, &ask)
@@ -108,7 +108,7 @@
                     .borrow_mut()
                     .read(self.now(), &id, position, excused);
             }
-            let mut out = answer(reply, &text, &id);
+            let mut out = encode_response(reply, &text, &id);
             if self.place.spoils.borrow()[n] && self.sim.chance.borrow_mut().u8(..2) == 0 {
                 // A flaw in the framing, as a value that is only another value can be told by nobody.
                 let described = 1 + u32::from_be_bytes([out[1], out[2], out[3], out[4]]) as usize;
@@ -124,7 +124,7 @@
             let at = self.place.sets.borrow()[set]
                 .position(self.now(), member)
                 .max(position);
-            word(
+            encode_status(
                 &mut out,
                 primary,
                 Some(UNIX.as_millis() as f64 + at as f64 / 10.0),
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -18,9 +18,9 @@
 /// What calls cost, and how long one may wait in the queue before it is refused instead.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    pub call: Duration,
-    pub refusal: Duration,
-    pub longest_queue: Duration,
+    pub call_cost: Duration,
+    pub refusal_cost: Duration,
+    pub max_queue_wait: Duration,
 }
 
 /// One gateway's dealings with the service.
@@ -88,7 +88,7 @@
     }
 
     /// An address for one more gateway, and the gateway's number here.
-    pub fn address(&self) -> (String, usize) {
+    pub fn add_gateway(&self) -> (String, usize) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let caller = {
@@ -107,7 +107,7 @@
     }
 
     /// From now on the list is this one; when that was.
-    pub fn change(&self, revision: u32, targets: &[String]) -> Instant {
+    pub fn set_targets(&self, revision: u32, targets: &[String]) -> Instant {
         let mut state = self.state();
         (state.revision, state.targets) = (revision, targets.to_vec());
         self.shared.1.notify_all();
@@ -121,7 +121,7 @@
     }
 
     /// When this gateway was first written that revision.
-    pub fn told(&self, caller: usize, revision: u32) -> Option<Instant> {
+    pub fn first_written_at(&self, caller: usize, revision: u32) -> Option<Instant> {
         let told = self.state().callers[caller].told;
         told.filter(|(to, _)| *to >= revision).map(|(_, at)| at)
     }
@@ -135,7 +135,7 @@
     }
 
     /// Waits until that gateway has been refused so often; whether it was within that time.
-    pub fn refused(&self, caller: usize, refusals: usize, within: Duration) -> bool {
+    pub fn wait_for_refusals(&self, caller: usize, refusals: usize, within: Duration) -> bool {
         let waits = |state: &mut State| state.callers[caller].refusals < refusals;
         !self
             .shared
@@ -188,13 +188,13 @@
             return true;
         }
         let begins = state.busy_until.max(now);
-        if state.refuses_all || begins - now > state.capacity.longest_queue {
-            state.busy_until = begins + state.capacity.refusal;
+        if state.refuses_all || begins - now > state.capacity.max_queue_wait {
+            state.busy_until = begins + state.capacity.refusal_cost;
             state.callers[caller].refusals += 1;
             self.shared.1.notify_all();
             return false;
         }
-        state.busy_until = begins + state.capacity.call;
+        state.busy_until = begins + state.capacity.call_cost;
         let turn = state.busy_until;
         drop(state);
         thread::sleep(turn.saturating_duration_since(Instant::now()));
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -6,15 +6,15 @@
 
 pub mod agent;
 pub mod client;
-pub mod crowd;
 pub mod discovery;
 pub mod file_lease;
 pub mod fleet;
 pub mod gateway;
 pub mod manual;
-pub mod member;
 pub mod pace;
 pub mod relay;
+pub mod replica_set;
 pub mod server;
+pub mod slow_clients;
 pub mod values;
 pub mod wire;
--- a/crates/test-support/src/member.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -21,7 +21,7 @@
 };
 
 /// A set with no lag, no queue that binds and no cold start, whose keyed repeats are dropped for three seconds.
-pub const PLAIN: Build = Build {
+pub const IDEAL_SET: Build = Build {
     slots: 1_000,
     queue: 1_000,
     lag: 0,
@@ -35,7 +35,7 @@
 };
 
 /// What all members of a set share.
-pub struct Set {
+pub struct ReplicaSet {
     state: Mutex<State>,
     began: Instant,
     began_ms: u128,
@@ -50,27 +50,27 @@
     twice: u64,
     runs: u64,
     /// By id, until it is asked for: how the newest row of a session's read was made.
-    reads: BTreeMap<String, Made>,
+    reads: BTreeMap<String, ReadOrigin>,
 }
 
 /// How a row of a session's read was made.
 #[derive(Clone, Copy, Debug)]
-pub struct Made {
+pub struct ReadOrigin {
     /// The state it was made from, as a position.
-    pub at: Ticks,
+    pub position: Ticks,
     pub by_primary: bool,
     /// By the primary, though a replica had what the session has written.
     pub needless: bool,
 }
 
-pub struct Member {
+pub struct ReplicaSetMember {
     pub address: String,
     pub primary: bool,
     pace: Arc<Mutex<Pace>>,
 }
 
-impl Set {
-    pub fn new(build: Build, machines: usize) -> Arc<Set> {
+impl ReplicaSet {
+    pub fn new(build: Build, machines: usize) -> Arc<ReplicaSet> {
         let state = State {
             model: Model::new(build, machines),
             wrote: BTreeMap::new(),
@@ -81,7 +81,7 @@
         };
         // The model begins an hour into its time, so that no lag reaches back before it.
         let began = Instant::now() - Duration::from_secs(3_600);
-        Arc::new(Set {
+        Arc::new(ReplicaSet {
             state: Mutex::new(state),
             began,
             began_ms: unix_ms() - 3_600_000,
@@ -93,18 +93,18 @@
     }
 
     /// Effects that happened twice, and all that happened.
-    pub fn effects(&self) -> (u64, u64) {
+    pub fn effect_counts(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
         (state.twice, state.runs)
     }
 
     /// The position of a session's last write, as the set knows it.
-    pub fn wrote(&self, session: &str) -> Option<Ticks> {
+    pub fn last_write_position(&self, session: &str) -> Option<Ticks> {
         self.state.lock().unwrap().wrote.get(session).copied()
     }
 
     /// How the newest row for that read was made.
-    pub fn take_read(&self, id: &str) -> Option<Made> {
+    pub fn take_read_origin(&self, id: &str) -> Option<ReadOrigin> {
         self.state.lock().unwrap().reads.remove(id)
     }
 
@@ -112,12 +112,12 @@
         self.state.lock().unwrap().model.primary()
     }
 
-    pub fn hand_over(&self, to: usize) {
+    pub fn switch_over(&self, to: usize) {
         self.state.lock().unwrap().model.hand_over(to);
     }
 
     /// A replica applies nothing more, or all of it again.
-    pub fn hold_up(&self, member: usize, held: bool) {
+    pub fn set_replication_paused(&self, member: usize, held: bool) {
         let now = self.now();
         self.state.lock().unwrap().model.hold_up(now, member, held);
     }
@@ -163,7 +163,7 @@
     fn works(&self, member: usize, text: &str) -> (Reply, bool, u128) {
         let write = text.starts_with("INSERT");
         let session = text.split('\'').nth(1).unwrap_or_default();
-        let key = named(text, "k");
+        let key = comment_value(text, "k");
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         let primary = state.model.is_primary(member);
@@ -185,18 +185,18 @@
             }
             state.wrote.insert(session.to_owned(), at);
         }
-        if !write && named(text, "c") == Some("own") && reply == Reply::Row {
+        if !write && comment_value(text, "c") == Some("own") && reply == Reply::Row {
             let wrote = state.wrote.get(session).copied().unwrap_or(0);
             let others = (0..state.model.machines.len()).filter(|m| !state.model.is_primary(*m));
             let needless = primary
                 && others
                     .into_iter()
                     .any(|m| state.model.position(now, m) >= wrote);
-            let id = named(text, "id").unwrap_or_default().to_owned();
+            let id = comment_value(text, "id").unwrap_or_default().to_owned();
             state.reads.insert(
                 id,
-                Made {
-                    at,
+                ReadOrigin {
+                    position: at,
                     by_primary: primary,
                     needless,
                 },
@@ -212,8 +212,8 @@
     }
 }
 
-impl Member {
-    pub fn start(set: &Arc<Set>, nth: usize, work: Duration) -> Member {
+impl ReplicaSetMember {
+    pub fn start(set: &Arc<ReplicaSet>, nth: usize, work: Duration) -> ReplicaSetMember {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let pace = Arc::new(Mutex::new(Pace::Whole));
@@ -227,7 +227,7 @@
                 let _ = thread::Builder::new().stack_size(128 << 10).spawn(serve);
             }
         });
-        Member {
+        ReplicaSetMember {
             address,
             primary: set.primary() == Some(nth),
             pace,
@@ -241,17 +241,24 @@
 }
 
 /// A set that serves: its members, and the list that names them.
-pub fn serving(build: Build, many: usize, work: Duration) -> (Arc<Set>, Vec<Member>, String) {
-    let set = Set::new(build, many);
-    let members: Vec<_> = (0..many).map(|n| Member::start(&set, n, work)).collect();
-    let mode = |m: &Member| if m.primary { "read-write" } else { "read-only" };
-    let named = |(n, m): (usize, &Member)| target(&format!("s{n}"), &m.address, "up", mode(m));
+pub fn start_replica_set(
+    build: Build,
+    many: usize,
+    work: Duration,
+) -> (Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
+    let set = ReplicaSet::new(build, many);
+    let members: Vec<_> = (0..many)
+        .map(|n| ReplicaSetMember::start(&set, n, work))
+        .collect();
+    let mode = |m: &ReplicaSetMember| if m.primary { "read-write" } else { "read-only" };
+    let named =
+        |(n, m): (usize, &ReplicaSetMember)| target(&format!("s{n}"), &m.address, "up", mode(m));
     let targets: Vec<_> = members.iter().enumerate().map(named).collect();
     (set, members, endpoint_list(7, true, &targets))
 }
 
 /// One name's value in a statement's comment.
-pub fn named<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+pub fn comment_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.rsplit_once("/* ")?.1.strip_suffix(" */")?;
     comment
         .split(',')
@@ -260,7 +267,7 @@
 
 fn serve(
     mut stream: TcpStream,
-    set: &Set,
+    set: &ReplicaSet,
     pace: &Mutex<Pace>,
     nth: usize,
     work: Duration,
@@ -274,8 +281,10 @@
     loop {
         let (_, body) = read_message(&mut stream)?;
         let text = std::str::from_utf8(&body).ok()?.trim_end_matches('\0');
-        let id = named(text, "id")?;
-        let patience = named(text, "d").and_then(|ms| ms.parse().ok()).unwrap_or(0);
+        let id = comment_value(text, "id")?;
+        let patience = comment_value(text, "d")
+            .and_then(|ms| ms.parse().ok())
+            .unwrap_or(0);
         let (reply, primary, position) = match set.begins(nth, Duration::from_millis(patience)) {
             Err(reply) => (reply, set.primary() == Some(nth), 0),
             Ok(()) => {
@@ -283,16 +292,16 @@
                 set.works(nth, text)
             }
         };
-        let mut out = answer(reply, text, id);
+        let mut out = encode_response(reply, text, id);
         let ends = out.len();
-        word(&mut out, primary, (position > 0).then_some(position as f64));
+        encode_status(&mut out, primary, (position > 0).then_some(position as f64));
         let at = *pace.lock().unwrap();
         write_paced(&mut stream, &out, ends, at).ok()?;
     }
 }
 
 /// What a machine answers a statement with: the row made for it, or the error that turns it away.
-pub fn answer(reply: Reply, text: &str, id: &str) -> Vec<u8> {
+pub fn encode_response(reply: Reply, text: &str, id: &str) -> Vec<u8> {
     match reply {
         Reply::Row if text.starts_with("INSERT") => {
             row_messages_from_bytes(&expected_value(id, 64), WRITE_TAG)
@@ -310,7 +319,7 @@
 
 /// What it says of itself behind that: its role, its position as milliseconds of the day, where it has one; then that
 /// it is ready.
-pub fn word(out: &mut Vec<u8>, primary: bool, position: Option<f64>) {
+pub fn encode_status(out: &mut Vec<u8>, primary: bool, position: Option<f64>) {
     let mode = if primary { "read-write" } else { "read-only" };
     put_message(out, b'S', format!("mode\0{mode}\0").as_bytes());
     if let Some(position) = position {
--- a/crates/test-support/src/crowd.rs
+++ b/crates/test-support/src/slow_clients.rs
@@ -18,22 +18,22 @@
 
 /// How one of them behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Habit {
+pub enum ClientBehavior {
     /// Asks and never reads.
     NeverReads,
     /// Reads so many bytes a second.
-    Reads(usize),
+    ReadsAtRate(usize),
     /// Reads well up to so many bytes, then not for so long, then well.
-    Stops(usize, Duration),
+    PausesReading(usize, Duration),
     /// Says half a statement and no more.
-    HalfSays,
+    SendsHalfStatement,
     /// Says its statement so many bytes at a time, with a pause before each next.
-    Writes(usize, Duration),
+    WritesInPieces(usize, Duration),
 }
 
 /// What is asked.
 #[derive(Clone, Debug)]
-pub struct Asks {
+pub struct RequestSpec {
     pub group: String,
     pub tenant: String,
     pub set: u16,
@@ -45,27 +45,27 @@
 
 /// What became of a crowd's commands and connections.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct ClientCounters {
     pub connected: AtomicU64,
-    pub asked: AtomicU64,
+    pub requests: AtomicU64,
     pub answered: AtomicU64,
     pub throttled: AtomicU64,
     pub failed: AtomicU64,
     /// The connection ended, in the middle of an answer or before it, after the client timeout.
-    pub let_go: AtomicU64,
+    pub ended_after_timeout: AtomicU64,
     /// The connection ended before anything was said on it to that command, which may go again on another.
-    pub crossed: AtomicU64,
+    pub ended_before_response: AtomicU64,
     /// The connection ended within the client timeout in the middle of an answer.
     pub lost: AtomicU64,
     pub wrong: AtomicU64,
 }
 
-pub fn add(count: &AtomicU64) {
+pub fn increment(count: &AtomicU64) {
     count.fetch_add(1, Relaxed);
 }
 
 /// A crowd at work; it ends when it is dropped.
-pub struct Crowd {
+pub struct SlowClients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -77,17 +77,17 @@
 /// Most that its kernel takes for one, in bytes: a phone's buffer is larger, and hides it for as long.
 const BUFFER: usize = 2 << 10;
 
-impl Crowd {
+impl SlowClients {
     /// One client for each habit, all coming in the same moment.
     pub fn start(
         to: SocketAddr,
-        habits: &[Habit],
-        asks: &Asks,
-        seen: &Arc<Seen>,
+        habits: &[ClientBehavior],
+        asks: &RequestSpec,
+        seen: &Arc<ClientCounters>,
         first: u64,
-    ) -> Crowd {
+    ) -> SlowClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let member = |(n, habit): (usize, &Habit)| {
+        let member = |(n, habit): (usize, &ClientBehavior)| {
             let member = Member {
                 to,
                 habit: *habit,
@@ -103,11 +103,11 @@
                 .ok()
         };
         let threads = habits.iter().enumerate().filter_map(member).collect();
-        Crowd { stop, threads }
+        SlowClients { stop, threads }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for SlowClients {
     fn drop(&mut self) {
         self.stop.store(true, Relaxed);
         self.threads
@@ -118,9 +118,9 @@
 
 struct Member {
     to: SocketAddr,
-    habit: Habit,
-    asks: Asks,
-    seen: Arc<Seen>,
+    habit: ClientBehavior,
+    asks: RequestSpec,
+    seen: Arc<ClientCounters>,
     stop: Arc<AtomicBool>,
     name: String,
     next: u64,
@@ -139,7 +139,7 @@
     fn run(mut self) {
         while !self.stop.load(Relaxed) {
             if let Ok(mut stream) = slow_connection(self.to) {
-                add(&self.seen.connected);
+                increment(&self.seen.connected);
                 let _ = self.talk(&mut stream);
             }
             sleep(COMES_BACK);
@@ -190,11 +190,11 @@
             );
             let bytes = query_message(&text);
             match self.habit {
-                Habit::HalfSays => {
+                ClientBehavior::SendsHalfStatement => {
                     stream.write_all(&bytes[..bytes.len() / 2])?;
                     self.hold_on(stream)?;
                 }
-                Habit::Writes(at_a_time, pause) => {
+                ClientBehavior::WritesInPieces(at_a_time, pause) => {
                     for piece in bytes.chunks(at_a_time) {
                         self.stopped()?;
                         stream.write_all(piece)?;
@@ -203,7 +203,7 @@
                 }
                 _ => stream.write_all(&bytes)?,
             }
-            add(&self.seen.asked);
+            increment(&self.seen.requests);
             let sent = Instant::now();
             let mut heard = Vec::new();
             let told = match self.hear(stream, &mut heard) {
@@ -211,10 +211,10 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => return Err(e),
                 Err(e) => {
                     let seen = &self.seen;
-                    add(if sent.elapsed() >= self.asks.timeout {
-                        &seen.let_go
+                    increment(if sent.elapsed() >= self.asks.timeout {
+                        &seen.ended_after_timeout
                     } else if heard.is_empty() {
-                        &seen.crossed
+                        &seen.ended_before_response
                     } else if heard[0] == b'E' {
                         // Sent back with an error, whole or cut by what follows it.
                         &seen.throttled
@@ -247,7 +247,7 @@
         let mut stopped = false;
         while !heard.ends_with(b"Z\0\0\0\x05I") {
             match self.habit {
-                Habit::NeverReads => {
+                ClientBehavior::NeverReads => {
                     // An end without a word, a reset, can be told without reading.
                     self.stopped()?;
                     sleep(LOOK);
@@ -255,14 +255,14 @@
                         return Err(e);
                     }
                 }
-                Habit::Reads(rate) => {
+                ClientBehavior::ReadsAtRate(rate) => {
                     let at_a_time = rate.div_ceil(10).min(bytes.len());
                     let n = self.some(stream, &mut bytes[..at_a_time])?;
                     heard.extend_from_slice(&bytes[..n]);
                     self.stopped()?;
                     sleep(Duration::from_secs_f64(n as f64 / rate as f64));
                 }
-                Habit::Stops(after, span) if heard.len() >= after && !stopped => {
+                ClientBehavior::PausesReading(after, span) if heard.len() >= after && !stopped => {
                     stopped = true;
                     let until = Instant::now() + span;
                     while Instant::now() < until {
@@ -283,13 +283,13 @@
     fn judge(&self, id: &str, heard: &[u8]) -> Duration {
         let seen = &self.seen;
         match classify_response(heard, &expected_value(id, self.asks.length)) {
-            ResponseOutcome::Answered => add(&seen.answered),
-            ResponseOutcome::Wrong => add(&seen.wrong),
+            ResponseOutcome::Answered => increment(&seen.answered),
+            ResponseOutcome::Wrong => increment(&seen.wrong),
             ResponseOutcome::Throttled(ms) => {
-                add(&seen.throttled);
+                increment(&seen.throttled);
                 return Duration::from_millis(ms);
             }
-            ResponseOutcome::Failed => add(&seen.failed),
+            ResponseOutcome::Failed => increment(&seen.failed),
         }
         Duration::ZERO
     }
