--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -7,9 +7,9 @@
 
 use leverpoint_replication::ReplicationCounters;
 use leverpoint_replication::ReplicationStatus;
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::gateway::{config, output};
-use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::wire::list;
+use leverpoint_test_support::wire::endpoint_list;
 use serde_json::Value;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -103,7 +103,7 @@
     let text = config(
         "127.0.0.1:6432",
         "127.0.0.1:8500",
-        &list(7, true, &[]),
+        &endpoint_list(7, true, &[]),
         SETTINGS,
     );
     let (settings, operator) = (
@@ -130,7 +130,7 @@
     let text = config(
         "127.0.0.1:6432",
         "127.0.0.1:8500",
-        &list(7, true, &[]),
+        &endpoint_list(7, true, &[]),
         SETTINGS,
     );
     let (settings, operator) = (file("printed.json", &text), file("printed.hcl", EVERY_KEY));
@@ -270,32 +270,32 @@
 
 #[test]
 fn members_and_copies_print_json_with_these_names() {
-    let build = Build {
+    let build = FleetConfig {
         processes: 3,
         founders: 3,
-        beat_ms: 100,
-        settles_ms: None,
+        heartbeat_ms: 100,
+        settle_ms: None,
         disk: true,
         zones: 1,
         members: true,
         relays: false,
         settings: SETTINGS.into(),
-        known: list(7, true, &[]),
-        more: "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\ncopies {\n  on = true\n}\n"
+        known_list: endpoint_list(7, true, &[]),
+        extra_hcl: "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\ncopies {\n  on = true\n}\n"
             .into(),
         seed: 5,
     };
-    let mut stage = Stage::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
+    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
     stage.start_all();
-    stage.meet(&[0, 1, 2], 1);
-    stage.settles(0);
+    stage.wait_for_layout(&[0, 1, 2], 1);
+    stage.wait_until_settled(0);
     let mut lines = Vec::new();
     for words in [
         &["members", "--json"][..],
         &["copies", "--json"],
         &["copies", "verify", "--json"],
     ] {
-        let out = stage.runs_words(0, words).stdout;
+        let out = stage.run_command(0, words).stdout;
         let json: Value = serde_json::from_slice(&out).unwrap();
         lines.push(format!("{}: {}", words.join(" "), names(&json)));
     }
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -4,10 +4,12 @@
 use std::time::Duration;
 
 use leverpoint_cluster_model::replica_set::ReplicaSetConfig;
-use leverpoint_test_support::agent::agent;
+use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::gateway::{self, Gateway};
-use leverpoint_test_support::member::{Member, PLAIN, Set, serving};
-use leverpoint_test_support::wire::http;
+use leverpoint_test_support::replica_set::{
+    IDEAL_SET, ReplicaSet, ReplicaSetMember, start_replica_set,
+};
+use leverpoint_test_support::wire::http_ok;
 
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
@@ -23,11 +25,11 @@
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
 /// A set whose replicas are ten minutes behind, so that only its primary has what was written just now.
-fn set() -> (std::sync::Arc<Set>, Vec<Member>, String) {
-    serving(
+fn set() -> (std::sync::Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
+    start_replica_set(
         ReplicaSetConfig {
             replication_lag: 6_000_000,
-            ..PLAIN
+            ..IDEAL_SET
         },
         3,
         Duration::from_millis(1),
@@ -35,8 +37,8 @@
 }
 
 fn start(known: &str, operator: &Path) -> Gateway {
-    let (agent, address) = (agent(), gateway::free_address());
-    agent.say.send(http(known)).unwrap();
+    let (agent, address) = (start_agent(), gateway::free_address());
+    agent.responses.send(http_ok(known)).unwrap();
     let text = gateway::config(&address, &agent.address, known, SETTINGS);
     let words = ["--operator", operator.to_str().unwrap()];
     gateway::start(
@@ -72,16 +74,32 @@
     let (set, _members, known) = set();
     let follows = file("follow.hcl", "sessions {\n  follow = true\n}\n");
     let (one, other) = (start(&known, &follows), start(&known, &follows));
-    assert!(one.client().ask(&write("w1")).starts_with('T'));
+    assert!(
+        one.connect_client()
+            .run_statement(&write("w1"))
+            .starts_with('T')
+    );
     drop(one);
-    assert!(other.client().ask(&read("r1", "")).starts_with('T'));
-    let row = set.take_read("r1").unwrap();
-    assert!(row.at >= set.wrote("64-p").unwrap() && row.by_primary);
+    assert!(
+        other
+            .connect_client()
+            .run_statement(&read("r1", ""))
+            .starts_with('T')
+    );
+    let row = set.take_read_origin("r1").unwrap();
+    assert!(row.position >= set.last_write_position("64-p").unwrap() && row.by_primary);
     let again = start(&known, &follows);
-    assert!(again.client().ask(&read("r2", "")).starts_with('T'));
-    assert!(set.take_read("r2").unwrap().at >= set.wrote("64-p").unwrap());
+    assert!(
+        again
+            .connect_client()
+            .run_statement(&read("r2", ""))
+            .starts_with('T')
+    );
+    assert!(
+        set.take_read_origin("r2").unwrap().position >= set.last_write_position("64-p").unwrap()
+    );
     assert_eq!(
-        other.end(&["answered", "failed", "throttled"]),
+        other.shut_down(&["answered", "failed", "throttled"]),
         "answered=1 failed=0 throttled=0 "
     );
     std::fs::remove_file(follows).unwrap();
@@ -98,24 +116,33 @@
     );
     let follows = file("disk.hcl", &text);
     let one = start(&known, &follows);
-    assert!(one.client().ask(&write("w1")).starts_with('T'));
-    one.end(&[]);
+    assert!(
+        one.connect_client()
+            .run_statement(&write("w1"))
+            .starts_with('T')
+    );
+    one.shut_down(&[]);
     let other = start(&known, &follows);
-    let said = other.said.borrow().join("\n");
+    let said = other.log_lines.borrow().join("\n");
     assert!(
         said.contains("\"many\"=1") || said.contains("many=1") || said.contains("many=\"1\""),
         "{said}"
     );
     // Who has written is owed that, exactly; who has not is owed nothing, so a replica answers.
-    assert!(other.client().ask(&read("r1", "")).starts_with('T'));
-    assert!(set.take_read("r1").unwrap().by_primary);
     assert!(
         other
-            .client()
-            .ask(&read("r2", "").replace("64-p", "64-q"))
+            .connect_client()
+            .run_statement(&read("r1", ""))
+            .starts_with('T')
+    );
+    assert!(set.take_read_origin("r1").unwrap().by_primary);
+    assert!(
+        other
+            .connect_client()
+            .run_statement(&read("r2", "").replace("64-p", "64-q"))
             .starts_with('T')
     );
-    assert!(!set.take_read("r2").unwrap().by_primary);
+    assert!(!set.take_read_origin("r2").unwrap().by_primary);
     drop(other);
     std::fs::remove_file(follows).unwrap();
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -7,11 +7,15 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-use leverpoint_test_support::crowd::{Asks, Crowd, Habit, Seen};
 use leverpoint_test_support::gateway::{self as stands, Gateway};
 use leverpoint_test_support::pace::Pace;
-use leverpoint_test_support::server::{Does, Server, heard, rows, server};
-use leverpoint_test_support::wire::{insert, query, select};
+use leverpoint_test_support::server::{
+    Server, ServerAction, always_row, next_statement, start_server,
+};
+use leverpoint_test_support::slow_clients::{
+    ClientBehavior, ClientCounters, RequestSpec, SlowClients,
+};
+use leverpoint_test_support::wire::{insert, query_message, select};
 
 /// Client timeouts near enough that what is past them can be waited for, targets far from both.
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
@@ -29,7 +33,7 @@
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 100.0}, {"name": "venue", "share": 1.0, "quotaPerS": 100.0}]}"#;
 
 fn gateway(servers: &[(&Server, &str)], limits: (usize, usize), words: &[&str]) -> Gateway {
-    stands::gateway_with(
+    stands::start_with_servers(
         Path::new(env!("CARGO_BIN_EXE_leverpoint")),
         servers,
         SETTINGS,
@@ -42,9 +46,9 @@
     "v".repeat(60_000)
 }
 
-fn asks(length: usize) -> Asks {
+fn asks(length: usize) -> RequestSpec {
     let (group, tenant, timeout) = ("short".into(), "venue".into(), Duration::from_millis(900));
-    Asks {
+    RequestSpec {
         group,
         tenant,
         set: 2,
@@ -59,45 +63,45 @@
 
 /// An honest client's answers to so many reads, as often as it takes where it is sent back: how many were rows.
 fn honest(gateway: &Gateway, many: usize) -> usize {
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     (0..many)
-        .filter(|_| client.ask(&select("view")).starts_with("T D "))
+        .filter(|_| client.run_statement(&select("view")).starts_with("T D "))
         .count()
 }
 
 fn counted(line: &str, name: &str) -> u64 {
-    let count = stands::counted(line, name).and_then(|count| count.parse().ok());
+    let count = stands::counter_value(line, name).and_then(|count| count.parse().ok());
     count.unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
 /// A crowd of so many that never read, beside an honest client that is there before and one that comes later.
 fn beside_a_crowd(many: usize, limits: (usize, usize)) {
-    let replica = server("read-only", rows(&long_value()));
-    let primary = server("read-write", rows("honest"));
+    let replica = start_server("read-only", always_row(&long_value()));
+    let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(
         &[(&primary, "read-write"), (&replica, "read-only")],
         limits,
         &[],
     );
-    let mut first = gateway.client();
+    let mut first = gateway.connect_client();
     for _ in 0..20 {
-        assert_eq!(first.ask(&insert("report")), "T D honest C Z");
+        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &vec![Habit::NeverReads; many],
+        &vec![ClientBehavior::NeverReads; many],
         &asks(60_000),
         &seen,
         1 << 20,
     );
-    while seen.asked.load(Relaxed) < 2 * many as u64 {
-        assert_eq!(first.ask(&insert("report")), "T D honest C Z");
+    while seen.requests.load(Relaxed) < 2 * many as u64 {
+        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
     }
     drop(crowd);
     // Whoever of them is still known is let go, and all that was held comes back.
     let mut gateway = gateway;
-    let line = gateway.peers_at_end(false);
+    let line = gateway.shut_down_for_peers_line(false);
     assert!(counted(&line, "peers.let_go") > 0, "{line}");
     assert_eq!(
         (
@@ -132,20 +136,23 @@
         ("a stall in the row", Pace::Stall(30_000)),
     ];
     for (what, pace) in paces {
-        let slow = server("read-only", vec![Does::Paced(long_value(), pace)]);
-        let primary = server("read-write", rows("whole"));
+        let slow = start_server(
+            "read-only",
+            vec![ServerAction::PacedRow(long_value(), pace)],
+        );
+        let primary = start_server("read-write", always_row("whole"));
         let gateway = gateway(
             &[(&primary, "read-write"), (&slow, "read-only")],
             (32, 256),
             &[],
         );
         // A time that answers usually take is known, so the dispatch to the slow one is not waited for in full.
-        let mut client = gateway.client();
-        trace += &format!("{what}: {}", client.ask(&select("short")));
-        heard(&slow);
+        let mut client = gateway.connect_client();
+        trace += &format!("{what}: {}", client.run_statement(&select("short")));
+        next_statement(&slow);
         trace += &format!(
             "; {}\n",
-            gateway.end(&["answered", "dispatched", "ended.Reset", "ended.TimedOut"])
+            gateway.shut_down(&["answered", "dispatched", "ended.Reset", "ended.TimedOut"])
         );
     }
     insta::assert_snapshot!(trace);
@@ -154,44 +161,53 @@
 #[test]
 fn a_write_whose_answer_trickles_has_its_whole_timeout() {
     let pace = Pace::Trickle(8, Duration::from_millis(20));
-    let primary = server("read-write", vec![Does::Paced("late".into(), pace)]);
+    let primary = start_server(
+        "read-write",
+        vec![ServerAction::PacedRow("late".into(), pace)],
+    );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    assert_eq!(gateway.client().ask(&insert("report")), "T D late C Z");
     assert_eq!(
-        gateway.end(&["answered", "dispatched", "ended.Answered"]),
+        gateway.connect_client().run_statement(&insert("report")),
+        "T D late C Z"
+    );
+    assert_eq!(
+        gateway.shut_down(&["answered", "dispatched", "ended.Answered"]),
         "answered=1 dispatched=1 ended.Answered=1 "
     );
 }
 
 #[test]
 fn a_server_that_is_never_ready_after_its_row_holds_nothing() {
-    let primary = server(
+    let primary = start_server(
         "read-write",
         vec![
-            Does::Paced("row".into(), Pace::NeverReady),
-            Does::Row("next".into()),
+            ServerAction::PacedRow("row".into(), Pace::NeverReady),
+            ServerAction::Row("next".into()),
         ],
     );
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let mut client = gateway.client();
-    assert_eq!(client.ask(&insert("report")), "T D row C Z");
-    assert_eq!(client.ask(&insert("report")), "T D next C Z");
+    let mut client = gateway.connect_client();
+    assert_eq!(client.run_statement(&insert("report")), "T D row C Z");
+    assert_eq!(client.run_statement(&insert("report")), "T D next C Z");
     // The dispatch would have been waited for over a minute; it has ended, and its index is free.
     while counted(&gateway.counters(), "ended.Answered") < 2 {}
     assert_eq!(
-        gateway.end(&["answered", "ended.Answered", "servers.opened"]),
+        gateway.shut_down(&["answered", "ended.Answered", "servers.opened"]),
         "answered=2 ended.Answered=2 servers.opened=2 "
     );
 }
 
 #[test]
 fn a_stalled_client_is_evicted_once_its_answers_have_expired() {
-    let primary = server("read-write", rows(&long_value()));
+    let primary = start_server("read-write", always_row(&long_value()));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(Seen::default());
-    let habits = [Habit::Stops(20_000, Duration::from_secs(60))];
-    let crowd = Crowd::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
-    let line = gateway.logged("event=\"client connection evicted\"");
+    let seen = Arc::new(ClientCounters::default());
+    let habits = [ClientBehavior::PausesReading(
+        20_000,
+        Duration::from_secs(60),
+    )];
+    let crowd = SlowClients::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
+    let line = gateway.wait_for_log("event=\"client connection evicted\"");
     assert!(
         line.contains("why=\"too slow\"") && line.contains("state=\"Stalled\""),
         "{line}"
@@ -203,16 +219,16 @@
 
 #[test]
 fn clients_that_send_half_a_statement_get_an_error_and_delay_nobody() {
-    let primary = server("read-write", rows("honest"));
+    let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(Seen::default());
-    let mut habits = vec![Habit::HalfSays; 40];
-    habits.extend([Habit::Writes(1, Duration::from_millis(50)); 20]);
-    let crowd = Crowd::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
+    let seen = Arc::new(ClientCounters::default());
+    let mut habits = vec![ClientBehavior::SendsHalfStatement; 40];
+    habits.extend([ClientBehavior::WritesInPieces(1, Duration::from_millis(50)); 20]);
+    let crowd = SlowClients::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
     // One more of them, to hear what it is told.
-    let mut half = gateway.client();
-    half.send(&query(&select("view"))[..40]);
-    assert_eq!(half.answer(), "E C08P01 end");
+    let mut half = gateway.connect_client();
+    half.send(&query_message(&select("view"))[..40]);
+    assert_eq!(half.read_response(), "E C08P01 end");
     assert_eq!(honest(&gateway, 50), 50);
     drop(crowd);
     assert_eq!(
@@ -223,16 +239,16 @@
 
 #[test]
 fn a_long_statement_at_the_least_rate_is_taken_beyond_the_grace() {
-    let primary = server("read-write", rows("heard"));
+    let primary = start_server("read-write", always_row("heard"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let mut client = gateway.client();
+    let mut client = gateway.connect_client();
     let text = insert("report").replace("\\x9f", &format!("\\x{}", "9f".repeat(32_000)));
-    let bytes = query(&text);
+    let bytes = query_message(&text);
     for piece in bytes.chunks(bytes.len() / 30) {
         client.send(piece);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(client.answer(), "T D heard C Z");
+    assert_eq!(client.read_response(), "T D heard C Z");
 }
 
 #[test]
@@ -240,24 +256,24 @@
     let mut does: Vec<_> = (0..40)
         .map(|n| {
             if n % 2 == 0 {
-                Does::Drop
+                ServerAction::Disconnect
             } else {
-                Does::Row(long_value())
+                ServerAction::Row(long_value())
             }
         })
         .collect();
-    does.push(Does::Row(long_value()));
-    let failing = server("read-only", does);
-    let primary = server("read-write", rows("whole"));
+    does.push(ServerAction::Row(long_value()));
+    let failing = start_server("read-only", does);
+    let primary = start_server("read-write", always_row("whole"));
     let gateway = gateway(
         &[(&primary, "read-write"), (&failing, "read-only")],
         (32, 256),
         &[],
     );
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &[Habit::NeverReads; 60],
+        &[ClientBehavior::NeverReads; 60],
         &asks(60_000),
         &seen,
         1 << 20,
@@ -269,7 +285,7 @@
 
 #[test]
 fn signals_are_handled_with_slow_readers_open() {
-    let primary = server("read-write", rows(&long_value()));
+    let primary = start_server("read-write", always_row(&long_value()));
     let file = std::env::temp_dir().join(format!("leverpoint-operator-{}.hcl", std::process::id()));
     std::fs::write(&file, "slow {\n  grace = \"2s\"\n}\n").unwrap();
     let path = file.display().to_string();
@@ -278,10 +294,10 @@
         (32, 256),
         &["--operator", &path],
     );
-    let seen = Arc::new(Seen::default());
-    let crowd = Crowd::start(
+    let seen = Arc::new(ClientCounters::default());
+    let crowd = SlowClients::start(
         address(&gateway),
-        &[Habit::NeverReads; 30],
+        &[ClientBehavior::NeverReads; 30],
         &asks(60_000),
         &seen,
         1 << 20,
@@ -297,52 +313,55 @@
     ] {
         std::fs::write(&file, text).unwrap();
         gateway.signal("-HUP");
-        let line = gateway.logged("event=\"operator's file");
+        let line = gateway.wait_for_log("event=\"operator's file");
         trace += &format!(
             "{name}:{}\n",
             line.split_once("event=").unwrap().1.replace(&path, "FILE")
         );
         if name == "shorter" {
-            gateway.logged("event=\"client connection evicted\"");
+            gateway.wait_for_log("event=\"client connection evicted\"");
         }
     }
     // It ends in order, within the longest client timeout of what it has taken.
     drop(crowd);
-    trace += &gateway.end(&["failed"]);
+    trace += &gateway.shut_down(&["failed"]);
     let _ = std::fs::remove_file(&file);
     insta::assert_snapshot!(trace);
 }
 
 #[test]
 fn a_write_whose_answer_is_never_read_stands_and_is_not_retried() {
-    let primary = server("read-write", rows("done"));
+    let primary = start_server("read-write", always_row("done"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let mut stream = TcpStream::connect(&gateway.address).unwrap();
     stream
-        .write_all(leverpoint_test_support::wire::STARTUP)
+        .write_all(leverpoint_test_support::wire::STARTUP_MESSAGE)
         .unwrap();
     let mut admitted = [0; 64];
     assert!(stream.read(&mut admitted).unwrap() > 0);
-    stream.write_all(&query(&insert("report"))).unwrap();
+    stream.write_all(&query_message(&insert("report"))).unwrap();
     // Heard once; then its client goes without having read a byte of the answer.
-    heard(&primary);
+    next_statement(&primary);
     while counted(&gateway.counters(), "answered") < 1 {}
     drop(stream);
-    assert_eq!(gateway.client().ask(&insert("report")), "T D done C Z");
-    heard(&primary);
-    assert!(primary.heard.try_recv().is_err());
     assert_eq!(
-        gateway.end(&["dispatched", "answered"]),
+        gateway.connect_client().run_statement(&insert("report")),
+        "T D done C Z"
+    );
+    next_statement(&primary);
+    assert!(primary.statements.try_recv().is_err());
+    assert_eq!(
+        gateway.shut_down(&["dispatched", "answered"]),
         "dispatched=2 answered=2 "
     );
 }
 
 #[test]
 fn log_lines_are_json_on_request() {
-    let primary = server("read-write", rows("x"));
+    let primary = start_server("read-write", always_row("x"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &["--log", "json"]);
     gateway.signal("-USR1");
-    let line = gateway.logged("\"counters\"");
+    let line = gateway.wait_for_log("\"counters\"");
     let value: serde_json::Value = serde_json::from_str(&line).unwrap();
     assert_eq!(value["msg"], "counters");
     assert!(
