--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -66,9 +66,9 @@
     let _ = writeln!(
         out,
         "{}",
-        backpressure_limits(&gateway::caps(node, operator)?)
+        backpressure_limits(&gateway::backpressure_limits(node, operator)?)
     );
-    if let Some(m) = membership::membership(node, operator)? {
+    if let Some(m) = membership::membership_settings(node, operator)? {
         let _ = writeln!(
             out,
             "member of {} at {}, zone {}, machine {}",
@@ -81,7 +81,7 @@
             m.max_connections
         );
     }
-    if let Some(copying) = gateway::copying(node, operator)? {
+    if let Some(copying) = gateway::replication_settings(node, operator)? {
         let _ = writeln!(out, "{copying:?}");
     }
     Ok(out)
--- a/crates/gateway/src/cli/serve.rs
+++ b/crates/gateway/src/cli/serve.rs
@@ -51,8 +51,8 @@
 ) -> Result<(NodeConfig, OperatorConfig), ConfigError> {
     let node = node::from_environment(|name| std::env::var(name).ok())?;
     let operator = read_operator_file(operator)?;
-    gateway::caps(&node, &operator)?;
-    membership::membership(&node, &operator)?;
-    gateway::copying(&node, &operator)?;
+    gateway::backpressure_limits(&node, &operator)?;
+    membership::membership_settings(&node, &operator)?;
+    gateway::replication_settings(&node, &operator)?;
     Ok((node, operator))
 }
--- a/crates/gateway/src/daemon.rs
+++ b/crates/gateway/src/daemon.rs
@@ -41,7 +41,7 @@
     node: &NodeConfig,
     operator: &OperatorConfig,
 ) -> io::Result<Option<MembershipListener>> {
-    let membership = membership::membership(node, operator)
+    let membership = membership::membership_settings(node, operator)
         .map_err(|fault| io::Error::other(fault.to_string()))?;
     let Some(membership) = membership else {
         return Ok(None);
@@ -88,7 +88,7 @@
     let mut metrics = signal(SignalKind::user_defined1()).map_err(failed)?;
     let faulty = |fault: ConfigError| fault.to_string();
     let (node, operator) = read().map_err(faulty)?;
-    let caps = gateway::caps(&node, &operator).map_err(faulty)?;
+    let caps = gateway::backpressure_limits(&node, &operator).map_err(faulty)?;
     let listener = listen_to_clients(&node, &caps).map_err(failed)?;
     let member = listen_to_members(&node, &operator).map_err(failed)?;
     let started = Gateway::start(node, operator, Listener::Tcp(listener), member, log);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -44,18 +44,18 @@
     pub(crate) node: NodeConfig,
     pub(crate) operator: RefCell<OperatorConfig>,
     /// Requests and their attempts.
-    pub exchange: Rc<Engine>,
+    pub engine: Rc<Engine>,
     /// The client connections as backpressure sees them.
-    pub peers: Rc<ClientConnections>,
+    pub client_connections: Rc<ClientConnections>,
     /// The metrics.
-    pub counters: Rc<Metrics>,
+    pub metrics: Rc<Metrics>,
     pub(crate) context: Rc<ClientContext>,
     pub(crate) agent: Rc<DiscoveryAddress>,
     pub(crate) kept: Option<Rc<GroupCommit>>,
     /// This process as a member of a fleet, where it is one.
     pub member: Option<Rc<MemberNode>>,
     /// Replication, where it is on.
-    pub copied: Option<Rc<Replication>>,
+    pub replication: Option<Rc<Replication>>,
     pub(crate) acceptor: AcceptorHandle,
     pub(crate) log: slog::Logger,
 }
@@ -65,15 +65,18 @@
 /// # Errors
 ///
 /// The faulty key of the operator's file.
-pub fn caps(node: &NodeConfig, operator: &OperatorConfig) -> Result<Limits, ConfigError> {
-    let limits = MachineResources {
+pub fn backpressure_limits(
+    node: &NodeConfig,
+    operator: &OperatorConfig,
+) -> Result<Limits, ConfigError> {
+    let resources = MachineResources {
         memory: node.limits.memory_bytes,
         sockets: node.limits.sockets,
         unclaimed: 2 * UNRESERVED_BYTES,
         longest: MAX_MESSAGE,
         connect: node.settings.connect_timeout,
     };
-    operator.backpressure_limits(Limits::from_resources(&limits), MAX_MESSAGE)
+    operator.backpressure_limits(Limits::from_resources(&resources), MAX_MESSAGE)
 }
 
 /// The configuration of replication; none where it is off.
@@ -81,7 +84,7 @@
 /// # Errors
 ///
 /// The faulty key of the operator's file.
-pub fn copying(
+pub fn replication_settings(
     node: &NodeConfig,
     operator: &OperatorConfig,
 ) -> Result<Option<ReplicationSettings>, ConfigError> {
@@ -104,8 +107,8 @@
 
 /// What client and server connections share.
 struct ConnectionResources {
-    counters: Rc<Metrics>,
-    peers: Rc<ClientConnections>,
+    metrics: Rc<Metrics>,
+    client_connections: Rc<ClientConnections>,
     leaving: Rc<ConnectionEviction>,
     descriptors: Rc<DescriptorBudget>,
     servers: Rc<ServerPool>,
@@ -113,25 +116,26 @@
 
 impl ConnectionResources {
     /// The resources of a gateway of whose descriptors `reserved` are for connections to other members.
-    fn new(node: &NodeConfig, caps: Limits, reserved: usize, log: &slog::Logger) -> Self {
+    fn new(node: &NodeConfig, limits: Limits, reserved: usize, log: &slog::Logger) -> Self {
         let opened = &node.settings;
         let facts = &opened.routing;
-        let counters = Rc::new(Metrics::new(&opened.classes));
+        let metrics = Rc::new(Metrics::new(&opened.classes));
         let (classes, tenants) = (facts.classes.len(), facts.tenants.len());
-        let peers = ClientConnections::new(caps, classes, tenants, facts.seed, log.clone());
+        let client_connections =
+            ClientConnections::new(limits, classes, tenants, facts.seed, log.clone());
         let sockets = node.limits.sockets - reserved;
-        let leaving = ConnectionEviction::new(sockets, peers.clone());
+        let leaving = ConnectionEviction::new(sockets, client_connections.clone());
         let descriptors = DescriptorBudget::new(sockets, leaving.clone());
         let servers = ServerPool::new(
             descriptors.clone(),
-            peers.clone(),
-            counters.clone(),
+            client_connections.clone(),
+            metrics.clone(),
             opened.connect_timeout,
             opened.idle_close,
         );
         ConnectionResources {
-            counters,
-            peers,
+            metrics,
+            client_connections,
             leaving,
             descriptors,
             servers,
@@ -139,14 +143,14 @@
     }
 
     /// What the client connections share.
-    fn client_context(&self, exchange: Rc<Engine>, caps: &Limits) -> Rc<ClientContext> {
+    fn client_context(&self, engine: Rc<Engine>, limits: &Limits) -> Rc<ClientContext> {
         Rc::new(ClientContext {
-            exchange,
-            peers: self.peers.clone(),
+            exchange: engine,
+            peers: self.client_connections.clone(),
             leaving: self.leaving.clone(),
             cancel_keys: Rc::default(),
             // Out of the third of the memory that is neither for statements nor for answers.
-            read_ahead: Rc::new(Cell::new(caps.total / READ_AHEAD_DIVISOR)),
+            read_ahead: Rc::new(Cell::new(limits.total / READ_AHEAD_DIVISOR)),
         })
     }
 }
@@ -164,56 +168,59 @@
         member: Option<membership::MembershipListener>,
         log: slog::Logger,
     ) -> Result<Self, ConfigError> {
-        let caps = caps(&node, &operator)?;
-        let copying = copying(&node, &operator)?.filter(|_| member.is_some());
+        let limits = backpressure_limits(&node, &operator)?;
+        let settings = replication_settings(&node, &operator)?.filter(|_| member.is_some());
         // A member whose fleet replicates roles announces the primaries that it hears of.
-        node.settings.routing.permissions.gossip |= copying.is_some();
+        node.settings.routing.permissions.gossip |= settings.is_some();
 
         // Connections of members are bounded by themselves; what is left is for clients and servers.
         let reserved = member
             .as_ref()
             .map_or(0, super::membership::MembershipListener::descriptors);
-        let resources = ConnectionResources::new(&node, caps, reserved, &log);
+        let resources = ConnectionResources::new(&node, limits, reserved, &log);
         let follow = operator.session_tracking(node.settings.routing.seed)?;
         let opened = node.settings.clone();
-        let counters = resources.counters.clone();
-        let exchange = Engine::new(opened, counters, follow.clone(), log.clone());
-        let kept = follow.and_then(|follow| persistence::start(&follow, &exchange, &log));
-        exchange.set_executor(resources.servers.clone());
-        let restored = restore_endpoint_list(&mut node, &exchange);
-        let (member, copied) = start_member(member, copying.as_ref(), &node.name, &log);
-        if let Some(holders) = &copied {
-            exchange.set_replicated_state(holders.clone());
+        let metrics = resources.metrics.clone();
+        let engine = Engine::new(opened, metrics, follow.clone(), log.clone());
+        let kept = follow.and_then(|follow| persistence::start(&follow, &engine, &log));
+        engine.set_executor(resources.servers.clone());
+        let restored = restore_endpoint_list(&mut node, &engine);
+        let (member, replication) = start_member(member, settings.as_ref(), &node.name, &log);
+        if let Some(holders) = &replication {
+            engine.set_replicated_state(holders.clone());
         }
         slog::info!(log, "serving"; "name" => &node.name, "listen" => node.listen.to_string());
-        spawn(exchange.clone().run_timers());
+        spawn(engine.clone().run_timers());
         spawn(resources.servers.clone().close_expired());
-        spawn(resources.peers.clone().monitor());
+        spawn(resources.client_connections.clone().monitor());
         let agent = DiscoveryAddress::new(node.discovery);
-        spawn(watch::run(agent.clone(), exchange.clone(), log.clone()));
-        let context = resources.client_context(exchange.clone(), &caps);
+        spawn(watch::run(agent.clone(), engine.clone(), log.clone()));
+        let context = resources.client_context(engine.clone(), &limits);
         let acceptor = Acceptor {
             listener,
             descriptors: resources.descriptors,
             context: context.clone(),
             restored_list: restored.is_some() && node.settings.routing.endpoint_list.pushed,
         };
-        let recovery = copied.clone().zip(copying).map(|(holders, copying)| {
-            let within = ticks_to_duration(copying.startup_wait);
-            StartupRecovery { holders, within }
-        });
+        let recovery = replication
+            .clone()
+            .zip(settings)
+            .map(|(holders, settings)| {
+                let within = ticks_to_duration(settings.startup_wait);
+                StartupRecovery { holders, within }
+            });
         let acceptor = start_acceptor(acceptor, recovery, restored, log.clone());
         Ok(Gateway {
             node,
             operator: RefCell::new(operator),
-            exchange,
-            peers: resources.peers,
-            counters: resources.counters,
+            engine,
+            client_connections: resources.client_connections,
+            metrics: resources.metrics,
             context,
             agent,
             kept,
             member,
-            copied,
+            replication,
             acceptor,
             log,
         })
@@ -221,38 +228,38 @@
 
     /// Logs the metrics and the sizes of the tables.
     pub fn log_metrics(&self) {
-        slog::info!(self.log, "counters"; "all" => self.counters.summary());
-        slog::info!(self.log, "tables"; "hold" => format!("{:?}", self.exchange.table_sizes()),
+        slog::info!(self.log, "counters"; "all" => self.metrics.summary());
+        slog::info!(self.log, "tables"; "hold" => format!("{:?}", self.engine.table_sizes()),
             "cancel_keys" => self.context.cancel_keys.len());
-        let (age, left) = self.exchange.endpoint_list_age();
-        slog::info!(self.log, "discovery"; "revision" => self.exchange.endpoint_list_revision(),
+        let (age, left) = self.engine.endpoint_list_age();
+        slog::info!(self.log, "discovery"; "revision" => self.engine.endpoint_list_revision(),
             "list_age_ms" => age.map(|age| age.as_millis() as u64),
             "list_ends_in_ms" => left.map(|left| left.as_millis() as u64));
-        slog::info!(self.log, "peers"; "all" => self.peers.summary());
-        if let Some(ledger) = &self.exchange.session_consistency {
+        slog::info!(self.log, "peers"; "all" => self.client_connections.summary());
+        if let Some(ledger) = &self.engine.session_consistency {
             slog::info!(self.log, "sessions"; "all" => ledger.summary());
         }
         if let Some(member) = &self.member {
             slog::info!(self.log, "member"; "all" => member.metrics_line());
         }
-        if let Some(copied) = &self.copied {
-            slog::info!(self.log, "copies"; "all" => copied.copies.metrics_line());
+        if let Some(replication) = &self.replication {
+            slog::info!(self.log, "copies"; "all" => replication.runtime.metrics_line());
         }
     }
 }
 
-/// Gives the exchange the endpoint list that the configuration remembers.
-fn restore_endpoint_list(node: &mut NodeConfig, exchange: &Rc<Engine>) -> Option<EndpointList> {
+/// Gives the engine the endpoint list that the configuration remembers.
+fn restore_endpoint_list(node: &mut NodeConfig, engine: &Rc<Engine>) -> Option<EndpointList> {
     let known = node.known_endpoints.take()?;
     let list = endpoint_list(known.get().as_bytes())?;
-    exchange.on_endpoint_list(EndpointUpdate::Restored, list.revision, &list.entries);
+    engine.on_endpoint_list(EndpointUpdate::Restored, list.revision, &list.entries);
     Some(list)
 }
 
-/// Starts this process as a member of its fleet, and its replication where `copying` configures it.
+/// Starts this process as a member of its fleet, and its replication where `settings` configures it.
 fn start_member(
     member: Option<membership::MembershipListener>,
-    copying: Option<&ReplicationSettings>,
+    settings: Option<&ReplicationSettings>,
     name: &str,
     log: &slog::Logger,
 ) -> (Option<Rc<MemberNode>>, Option<Rc<Replication>>) {
@@ -262,7 +269,7 @@
     let disk = member.membership.disk.clone();
     let (member, fresh) = membership::start(member, name, log);
     let replication =
-        copying.map(|copying| replication::start(&member, copying, disk.as_deref(), fresh, log));
+        settings.map(|settings| replication::start(&member, settings, disk.as_deref(), fresh, log));
     (Some(member), replication)
 }
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -40,7 +40,7 @@
 /// # Errors
 ///
 /// The faulty key of the operator's file.
-pub fn membership(
+pub fn membership_settings(
     node: &NodeConfig,
     operator: &OperatorConfig,
 ) -> Result<Option<MembershipSettings>, ConfigError> {
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -4,7 +4,7 @@
 use leverpoint_config::node::{self, NodeConfig};
 use leverpoint_config::operator::{self, OperatorConfig};
 
-use crate::gateway::{Gateway, caps, copying};
+use crate::gateway::{Gateway, backpressure_limits, replication_settings};
 use crate::membership;
 
 /// Keys of the operator's file that hold for new connections alone, as both ends agree on them when connecting.
@@ -62,11 +62,11 @@
         held: &OperatorConfig,
         reloaded: OperatorConfig,
     ) -> Result<OperatorConfig, ConfigError> {
-        copying(&self.node, &reloaded)?;
-        let caps = caps(&self.node, &reloaded)?;
-        let membership = membership::membership(&self.node, &reloaded)?;
+        replication_settings(&self.node, &reloaded)?;
+        let limits = backpressure_limits(&self.node, &reloaded)?;
+        let membership = membership::membership_settings(&self.node, &reloaded)?;
         let changed = held.changed_keys(&reloaded);
-        self.peers.set_limits(caps);
+        self.client_connections.set_limits(limits);
         if let (Some(member), Some(membership)) = (&self.member, &membership) {
             let fleet = membership::fleet_identity(membership);
             member.reconfigure(fleet, &membership.seeds);
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -142,7 +142,7 @@
 /// Replication as the exchange uses it.
 pub struct Replication {
     /// The replicator of this member.
-    pub copies: Rc<ReplicationRuntime>,
+    pub runtime: Rc<ReplicationRuntime>,
     /// The primaries announced last, by replica set.
     roles: RefCell<BTreeMap<u16, PrimaryRole>>,
     /// The drains announced last.
@@ -195,9 +195,9 @@
     let (kept, keeper) = open_records(disk, limits, memory, fresh, log);
     let event_log = log.clone();
     let says = Box::new(move |event: &ReplicationEvent| log_event(&event_log, event));
-    let copies = ReplicationRuntime::start(node, copying.config, kept, keeper, says);
+    let runtime = ReplicationRuntime::start(node, copying.config, kept, keeper, says);
     Rc::new(Replication {
-        copies,
+        runtime,
         roles: RefCell::default(),
         listed: RefCell::default(),
         clock_skew: copying.config.max_clock_skew,
@@ -238,7 +238,7 @@
         most: Ticks,
         then: Box<dyn FnOnce(u64, WriteDecision)>,
     ) -> u64 {
-        let came = self.copies.now();
+        let came = self.runtime.now();
         let window = claim.map(|claim| claim.deduplication_window);
         let clock_skew = self.clock_skew;
         let ends = move |first: Ticks| window.map(|window| first + window - clock_skew);
@@ -262,16 +262,16 @@
             };
             then(ticket, leave);
         };
-        self.copies
+        self.runtime
             .request_write(session, claim, most, Box::new(then))
     }
 
     fn finish_write(&self, ticket: u64, came: WriteOutcome) {
-        self.copies.on_write_finished(ticket, came);
+        self.runtime.on_write_finished(ticket, came);
     }
 
     fn session_position(&self, session: u64, most: Ticks, then: Box<dyn FnOnce(Option<Ticks>)>) {
-        self.copies.request_read(session, most, then);
+        self.runtime.request_read(session, most, then);
     }
 
     fn record_primary(&self, set: u16, server: &str, at: Ticks) {
@@ -288,7 +288,7 @@
         };
         roles.insert(set, role.clone());
         drop(roles);
-        self.copies.publish(&Record {
+        self.runtime.publish(&Record {
             key: RecordKey::Primary(set),
             value: RecordValue::Primary(role),
         });
@@ -301,11 +301,11 @@
         }
         let listed = EndpointSummary {
             revision,
-            observed_at: self.copies.now(),
+            observed_at: self.runtime.now(),
             drained,
         };
         *self.listed.borrow_mut() = Some(listed.clone());
-        self.copies.publish(&Record {
+        self.runtime.publish(&Record {
             key: RecordKey::EndpointList,
             value: RecordValue::EndpointList(listed),
         });
@@ -340,7 +340,7 @@
             // The start may have given up waiting.
             let _ = send.send((record, exact));
         });
-        self.copies.look_up(kind, duration_to_ticks(wait), then);
+        self.runtime.look_up(kind, duration_to_ticks(wait), then);
         received.await.unwrap_or((None, false))
     }
 
@@ -357,10 +357,10 @@
     ) {
         let began = now();
         let by = began + within;
-        while !self.copies.is_ready() && now() < by {
+        while !self.runtime.is_ready() && now() < by {
             sleep(READY_POLL_INTERVAL).await;
         }
-        if !self.copies.is_ready() {
+        if !self.runtime.is_ready() {
             slog::warn!(log, "no replica holders reachable at the start"; "ms" => since(began).as_millis() as u64);
             return;
         }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -23,10 +23,10 @@
     /// Accepts clients for a moment longer, then ends each connection once no request is open on it.
     pub async fn shut_down(&self) {
         slog::info!(self.log, "ending");
-        let last = now() + self.exchange.longest_timeout().min(MAX_REQUEST_WAIT) + ACCEPTED_WITHIN
+        let last = now() + self.engine.longest_timeout().min(MAX_REQUEST_WAIT) + ACCEPTED_WITHIN
             - FLUSH_TIME;
-        let exchange = self.exchange.clone();
-        spawn(async move { exchange.end_requests_at(last).await });
+        let engine = self.engine.clone();
+        spawn(async move { engine.end_requests_at(last).await });
         if let Some(member) = &self.member {
             // RequestHeader first, so that it is out long before the process ends.
             member.leave();
@@ -36,20 +36,20 @@
         self.acceptor.stopped.notified().await;
         self.context.leaving.evict_all();
         let last = last + FLUSH_TIME / 2;
-        while self.counters.clients.in_use() > 0 && now() < last {
+        while self.metrics.clients.in_use() > 0 && now() < last {
             sleep(CLIENTS_POLL_INTERVAL).await;
         }
-        slog::info!(self.log, "counters"; "all" => self.counters.summary());
-        slog::info!(self.log, "peers"; "all" => self.peers.summary());
-        if let Some(copied) = &self.copied {
+        slog::info!(self.log, "counters"; "all" => self.metrics.summary());
+        slog::info!(self.log, "peers"; "all" => self.client_connections.summary());
+        if let Some(replication) = &self.replication {
             // Nothing of it is open any more.
-            copied.copies.leave();
+            replication.runtime.leave();
             sleep(MEMBER_FLUSH_TIME).await;
         }
         if let Some(kept) = &self.kept {
             // All that was answered has been handed over by now.
             kept.close(unix().as_micros() as i64 / 100);
         }
-        slog::info!(self.log, "ended"; "open" => self.exchange.open_requests());
+        slog::info!(self.log, "ended"; "open" => self.engine.open_requests());
     }
 }
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -273,10 +273,10 @@
         }
         for (n, gateway) in self.gateways.borrow().iter().enumerate() {
             let Some(gateway) = gateway else { continue };
-            let tables = gateway.exchange.table_sizes();
-            let line = gateway.peers.summary();
+            let tables = gateway.engine.table_sizes();
+            let line = gateway.client_connections.summary();
             let held = |name: &str| !line.contains(&format!("{name}=0"));
-            if gateway.exchange.open_requests() > 0
+            if gateway.engine.open_requests() > 0
                 || tables.iter().any(|(t, size)| *t == "open_ids" && *size > 0)
             {
                 checker.breaks(
@@ -293,7 +293,7 @@
                 "peers.usual",
                 "peers.slow",
             ];
-            if left.iter().any(|name| held(name)) || gateway.counters.clients.in_use() > 0 {
+            if left.iter().any(|name| held(name)) || gateway.metrics.clients.in_use() > 0 {
                 checker.breaks(now, 0, format!("gateway {n} still holds: {line}"));
             }
         }
