--- a/crates/gateway/src/acceptor.rs
+++ b/crates/gateway/src/acceptor.rs
@@ -42,7 +42,7 @@
         if self.restored_list {
             tokio::select! {
                 biased;
-                () = self.context.exchange.discovery_answered() => {}
+                () = self.context.engine.discovery_answered() => {}
                 () = stop.notified() => stop.notify_one(),
                 () = sleep(AGENT_TIMEOUT) => {}
             }
@@ -67,7 +67,10 @@
     /// Starts a client and keeps the rate of arrivals; `late` is by how much the last pause was exceeded.
     async fn on_accepted(&self, stream: Stream, empty: Instant, late: &mut Duration) {
         self.start_client(stream, empty).await;
-        let pause = self.context.peers.accept_delay(std::mem::take(late));
+        let pause = self
+            .context
+            .client_connections
+            .accept_delay(std::mem::take(late));
         if !pause.is_zero() {
             let before = now();
             sleep(pause).await;
@@ -76,10 +79,10 @@
     }
 
     async fn on_accept_error(&self, error: &io::Error, log: &slog::Logger) {
-        increment(&self.context.exchange.metrics.clients.refused);
+        increment(&self.context.engine.metrics.clients.refused);
         slog::warn!(log, "accepting failed"; "why" => error.to_string());
         // Out of something that only time gives back: a pause, not a spin.
-        sleep(self.context.exchange.connect_timeout()).await;
+        sleep(self.context.engine.connect_timeout()).await;
     }
 
     /// Accepts the next connection, which came after `empty`; that is moved on to the last time at which none waited.
--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -26,7 +26,7 @@
 use crate::client::pipelining::ReadAhead;
 use crate::io::connection::BufferedConnection;
 use crate::postgres::cancel_keys::{CancelKey, CancelKeys};
-use crate::postgres::messages::{self, Read};
+use crate::postgres::messages::{self, DecodeResult};
 
 /// Time for a whole startup packet, and later for any message that has begun.
 ///
@@ -39,15 +39,15 @@
 /// What all client connections share.
 pub(crate) struct ClientContext {
     /// Takes the requests.
-    pub exchange: Rc<Engine>,
+    pub engine: Rc<Engine>,
     /// Throughput and buffer reservations of the client connections.
-    pub peers: Rc<ClientConnections>,
+    pub client_connections: Rc<ClientConnections>,
     /// Asks connections to close.
-    pub leaving: Rc<ConnectionEviction>,
+    pub eviction: Rc<ConnectionEviction>,
     /// The keys by which clients cancel requests.
     pub cancel_keys: Rc<CancelKeys>,
     /// Bytes that all connections together may still read ahead.
-    pub read_ahead: Rc<Cell<usize>>,
+    pub read_ahead_budget: Rc<Cell<usize>>,
 }
 
 /// Whether a connection is within the number that may be open.
@@ -64,7 +64,7 @@
 struct Client {
     connection: BufferedConnection,
     context: Rc<ClientContext>,
-    exchange: Rc<Engine>,
+    engine: Rc<Engine>,
     /// The key by which the client may cancel its open request, once it is admitted.
     cancel_key: Option<CancelKey>,
     read_ahead: ReadAhead,
@@ -78,7 +78,7 @@
 
 impl Drop for Client {
     fn drop(&mut self) {
-        increment(&self.exchange.metrics.clients.closed);
+        increment(&self.engine.metrics.clients.closed);
     }
 }
 
@@ -125,21 +125,21 @@
     descriptor: DescriptorPermit,
     has_capacity: bool,
 ) {
-    let exchange = context.exchange.clone();
-    increment(&exchange.metrics.clients.opened);
-    let longest_timeout = exchange.longest_timeout();
+    let engine = context.engine.clone();
+    increment(&engine.metrics.clients.opened);
+    let longest_timeout = engine.longest_timeout();
     let connection = BufferedConnection::of_client(stream, connected);
-    let peer = context.peers.register(connection.stream());
+    let peer = context.client_connections.register(connection.stream());
     let admission = Admission {
         has_capacity,
         rejected: false,
-        linger: exchange.connect_timeout(),
+        linger: engine.connect_timeout(),
     };
     let mut client = Client {
         connection,
-        exchange,
+        engine,
         cancel_key: None,
-        read_ahead: ReadAhead::new(context.read_ahead.clone()),
+        read_ahead: ReadAhead::new(context.read_ahead_budget.clone()),
         began: now(),
         longest_timeout,
         peer,
@@ -184,22 +184,22 @@
         progress: &mut MessageInProgress,
     ) -> io::Result<Option<(u8, Vec<u8>)>> {
         loop {
-            let length = match messages::next(&mut self.connection.input) {
-                Read::Message(tag, body) => {
+            let length = match messages::decode_message(&mut self.connection.input) {
+                DecodeResult::Message(tag, body) => {
                     self.on_message_complete(progress);
                     return Ok(Some((tag, body)));
                 }
-                Read::Long => {
+                DecodeResult::TooLong => {
                     self.close_with_error("54000", "the message is longer than is taken")
                         .await?;
                     return Ok(None);
                 }
-                Read::Broken => {
+                DecodeResult::InvalidLength => {
                     self.close_with_error("08P01", "a message of impossible length")
                         .await?;
                     return Ok(None);
                 }
-                Read::Short(length) => length,
+                DecodeResult::Incomplete(length) => length,
             };
             let idle_since = self.on_message_incomplete(progress);
             let outcome = self.read_more(length, progress, idle_since).await?;
@@ -287,7 +287,7 @@
         idle_since: Instant,
     ) -> io::Result<ReadOutcome> {
         let (shown, deadline) = (progress.shown, progress.deadline);
-        let leaving = self.context.leaving.clone();
+        let eviction = self.context.eviction.clone();
         let Admission {
             has_capacity,
             linger,
@@ -300,19 +300,19 @@
                 ClientActivity::MessageReceived | ClientActivity::Proven
             )
         {
-            leaving.on_idle(self.exchange.open_requests());
+            eviction.on_idle(self.engine.open_requests());
         }
         let may_leave = has_capacity
-            && (idle || (shown == ClientActivity::StartupReceived && !leaving.is_evicting_all()));
+            && (idle || (shown == ClientActivity::StartupReceived && !eviction.is_evicting_all()));
         let peer = self.peer.clone();
         tokio::select! {
             biased;
             outcome = self.read_bytes(length, &mut progress.room) => outcome,
             () = peer.evicted() => Ok(ReadOutcome::Evicted),
-            () = leaving.requested(shown, idle_since), if may_leave => Ok(match shown {
+            () = eviction.requested(shown, idle_since), if may_leave => Ok(match shown {
                 // One that has begun a request is heard, unless it is one of too many.
-                _ if leaving.is_evicting_all() && !idle => ReadOutcome::Progress,
-                ClientActivity::StartupReceived if !leaving.is_evicting_all() => ReadOutcome::MakeRoom,
+                _ if eviction.is_evicting_all() && !idle => ReadOutcome::Progress,
+                ClientActivity::StartupReceived if !eviction.is_evicting_all() => ReadOutcome::MakeRoom,
                 _ => ReadOutcome::Close,
             }),
             () = sleep(linger), if !has_capacity => Ok(ReadOutcome::Close),
--- a/crates/gateway/src/client/query.rs
+++ b/crates/gateway/src/client/query.rs
@@ -18,7 +18,7 @@
 /// Appends that a request is shed, with the milliseconds after which to retry unless they are 0.
 fn put_shed(out: &mut Vec<u8>, retry_after_ms: u64) {
     let detail = (retry_after_ms > 0).then(|| retry_after_ms.to_string());
-    messages::error(out, false, "53300", "throttled", detail.as_deref());
+    messages::put_error_response(out, false, "53300", "throttled", detail.as_deref());
 }
 
 impl Client {
@@ -37,11 +37,11 @@
         let Ok(text) = std::str::from_utf8(&body) else {
             return self.refuse("22021", "a query must be UTF-8", true).await;
         };
-        let request = match query_comment::read(text) {
+        let request = match query_comment::parse_query(text) {
             Ok(Query::Empty) => return self.answer_readiness_check().await,
             Ok(Query::Session(tag)) => {
                 let mut out = Vec::new();
-                messages::put(&mut out, b'C', &[tag.as_bytes(), b"\0"]);
+                messages::put_message(&mut out, b'C', &[tag.as_bytes(), b"\0"]);
                 return self.conclude(out, None).await;
             }
             Ok(Query::Request(request)) => request,
@@ -51,10 +51,7 @@
             return self.reject_without_capacity().await;
         }
         assert!(!(plant("panic") && text.contains("c=history")), "planted");
-        let ticket = match self
-            .exchange
-            .on_request(&request, text, received, &self.peer)
-        {
+        let ticket = match self.engine.on_request(&request, text, received, &self.peer) {
             Ok(ticket) => ticket,
             Err(Rejection::Invalid(code, why)) => return self.refuse(code, &why, true).await,
             Err(Rejection::Shed(ms, until)) => {
@@ -69,24 +66,24 @@
 
     /// Answers an empty query once there is an endpoint list: a load balancer checks the gateway's readiness by it.
     async fn answer_readiness_check(&mut self) -> io::Result<()> {
-        let exchange = self.exchange.clone();
-        let ready = timeout(self.longest_timeout, exchange.endpoint_list_received());
+        let engine = self.engine.clone();
+        let ready = timeout(self.longest_timeout, engine.endpoint_list_received());
         if self.read_ahead_until(pin!(ready)).await?.is_err() {
             return self.refuse("57P03", "no list of servers yet", true).await;
         }
         let mut out = Vec::new();
-        messages::put(&mut out, b'I', &[]);
+        messages::put_message(&mut out, b'I', &[]);
         self.conclude(out, None).await
     }
 
     /// Rejects a request of a connection beyond the number that may be open.
     async fn reject_without_capacity(&mut self) -> io::Result<()> {
-        increment(&self.exchange.metrics.clients.refused);
+        increment(&self.engine.metrics.clients.refused);
         // What stands behind it is here as well, and gets an answer of its own.
         let last = self.connection.input.is_empty() && !self.read_available()?;
         self.admission.rejected = last;
         let mut out = Vec::new();
-        messages::error(&mut out, last, "53300", "too many connections", None);
+        messages::put_error_response(&mut out, last, "53300", "too many connections", None);
         if last {
             self.write(&out).await
         } else {
@@ -104,7 +101,7 @@
         match outcome {
             Some(FinalAnswer::Answered(row)) => {
                 if let Some(token) = &row.session_token {
-                    messages::notice(&mut out, "what this session has written", token);
+                    messages::put_notice_response(&mut out, "what this session has written", token);
                 }
                 out.extend(row.messages);
                 delivery.class = Some(class);
@@ -112,9 +109,21 @@
             }
             Some(FinalAnswer::Shed(ms)) => put_shed(&mut out, ms),
             Some(FinalAnswer::Failed) => {
-                messages::error(&mut out, false, "58000", "no server has answered", None);
+                messages::put_error_response(
+                    &mut out,
+                    false,
+                    "58000",
+                    "no server has answered",
+                    None,
+                );
             }
-            None => messages::error(&mut out, false, "57014", "cancelled by its client", None),
+            None => messages::put_error_response(
+                &mut out,
+                false,
+                "57014",
+                "cancelled by its client",
+                None,
+            ),
         }
         self.conclude(out, Some(delivery)).await
     }
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -91,7 +91,7 @@
         mut out: Vec<u8>,
         delivery: Option<Delivery>,
     ) -> io::Result<()> {
-        messages::ready(&mut out);
+        messages::put_ready_for_query(&mut out);
         let Some(delivery) = delivery else {
             return self.write(&out).await;
         };
@@ -104,9 +104,9 @@
 
     /// Writes an error after which the connection goes on.
     pub(super) async fn refuse(&mut self, code: &str, why: &str, ready: bool) -> io::Result<()> {
-        increment(&self.exchange.metrics.rejected_messages);
+        increment(&self.engine.metrics.rejected_messages);
         let mut out = Vec::new();
-        messages::error(&mut out, false, code, why, None);
+        messages::put_error_response(&mut out, false, code, why, None);
         if ready {
             self.conclude(out, None).await
         } else {
@@ -116,12 +116,12 @@
 
     /// Writes a fatal error and closes the connection.
     pub(super) async fn close_with_error(&mut self, code: &str, why: &str) -> io::Result<()> {
-        increment(&self.exchange.metrics.rejected_messages);
+        increment(&self.engine.metrics.rejected_messages);
         let mut out = Vec::new();
-        messages::error(&mut out, true, code, why, None);
+        messages::put_error_response(&mut out, true, code, why, None);
         self.write(&out).await?;
         let closed = within(
-            self.exchange.connect_timeout(),
+            self.engine.connect_timeout(),
             // What the client still sends is read up to a bound, so that no reset overtakes the error.
             self.connection.finish(messages::MAX_MESSAGE),
         )
@@ -132,7 +132,7 @@
 
     /// Closes the connection between requests; one that is sent from here on is left unread, as nothing would answer it.
     pub(super) async fn close_unread(&mut self) -> io::Result<()> {
-        let timeout = self.exchange.connect_timeout();
+        let timeout = self.engine.connect_timeout();
         let closed = within(timeout, self.connection.finish_unread()).await;
         self.wait_until_taken().await;
         closed
--- a/crates/gateway/src/client/startup.rs
+++ b/crates/gateway/src/client/startup.rs
@@ -13,11 +13,11 @@
     /// Answers the startup packets within their time.
     pub(super) async fn admit_in_time(&mut self) -> io::Result<Next> {
         let began = self.began;
-        let leaving = self.context.leaving.clone();
+        let eviction = self.context.eviction.clone();
         let admitted = tokio::select! {
             biased;
             admitted = timeout_at(began + MESSAGE_TIMEOUT, self.admit()) => admitted,
-            () = leaving.requested(ClientActivity::Connected, began) => return Ok(Next::Close),
+            () = eviction.requested(ClientActivity::Connected, began) => return Ok(Next::Close),
         };
         match admitted {
             Ok(admitted) => admitted,
@@ -32,13 +32,13 @@
     /// Answers the startup packets.
     async fn admit(&mut self) -> io::Result<Next> {
         loop {
-            let (code, rest) = match messages::startup(&mut self.connection.input) {
+            let (code, rest) = match messages::decode_startup_packet(&mut self.connection.input) {
                 Ok(Some(packet)) => packet,
                 Ok(None) => {
                     self.connection.read().await?;
                     continue;
                 }
-                Err(messages::Misframed) => {
+                Err(messages::InvalidPacketLength) => {
                     self.close_with_error("08P01", "a startup packet of impossible length")
                         .await?;
                     return Ok(Next::Close);
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -21,7 +21,7 @@
 }
 
 /// Parses a list; none where the text is no list. An entry without a `uid` is left out.
-pub fn endpoint_list(text: &[u8]) -> Option<EndpointList> {
+pub fn parse_endpoint_list(text: &[u8]) -> Option<EndpointList> {
     let ListJson { rev, all, targets } = serde_json::from_slice(text).ok()?;
     Some(EndpointList {
         revision: rev,
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -18,7 +18,7 @@
 use leverpoint_runtime::{Instant, now, since, sleep_until};
 use tokio::sync::Notify;
 
-use crate::discovery::endpoint_list::{EndpointList, endpoint_list};
+use crate::discovery::endpoint_list::{EndpointList, parse_endpoint_list};
 use crate::discovery::http::{LastReceived, PollError, Response, get};
 use crate::io::connection::BufferedConnection;
 
@@ -41,7 +41,7 @@
     }
 
     /// Changes the address at once; returns whether it is another than before.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    pub fn set(&self, address: SocketAddr) -> bool {
         let moved = self.address.replace(address) != address;
         if moved {
             self.moved.notify_one();
@@ -184,7 +184,7 @@
         let at = self.ticks(now());
         let (list, kept) = match result {
             Ok(answer) => (
-                endpoint_list(&answer.body).ok_or(PollError::NotAList),
+                parse_endpoint_list(&answer.body).ok_or(PollError::NotAList),
                 answer.kept,
             ),
             Err(error) => (Err(error), None),
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -24,7 +24,7 @@
 
 use crate::acceptor::Acceptor;
 use crate::client::ClientContext;
-use crate::discovery::endpoint_list::{EndpointList, endpoint_list};
+use crate::discovery::endpoint_list::{EndpointList, parse_endpoint_list};
 use crate::discovery::watch::{self, DiscoveryAddress};
 use crate::membership;
 use crate::persistence;
@@ -141,12 +141,12 @@
     /// What the client connections share.
     fn client_context(&self, exchange: Rc<Engine>, caps: &Limits) -> Rc<ClientContext> {
         Rc::new(ClientContext {
-            exchange,
-            peers: self.peers.clone(),
-            leaving: self.leaving.clone(),
+            engine: exchange,
+            client_connections: self.peers.clone(),
+            eviction: self.leaving.clone(),
             cancel_keys: Rc::default(),
             // Out of the third of the memory that is neither for statements nor for answers.
-            read_ahead: Rc::new(Cell::new(caps.total / READ_AHEAD_DIVISOR)),
+            read_ahead_budget: Rc::new(Cell::new(caps.total / READ_AHEAD_DIVISOR)),
         })
     }
 }
@@ -244,7 +244,7 @@
 /// Gives the exchange the endpoint list that the configuration remembers.
 fn restore_endpoint_list(node: &mut NodeConfig, exchange: &Rc<Engine>) -> Option<EndpointList> {
     let known = node.known_endpoints.take()?;
-    let list = endpoint_list(known.get().as_bytes())?;
+    let list = parse_endpoint_list(known.get().as_bytes())?;
     exchange.on_endpoint_list(EndpointUpdate::Restored, list.revision, &list.entries);
     Some(list)
 }
@@ -287,7 +287,7 @@
             let (entries, revision) =
                 restored.map_or((Vec::new(), 0), |list| (list.entries, list.revision));
             holders
-                .recover(&acceptor.context.exchange, &entries, revision, within, &log)
+                .recover(&acceptor.context.engine, &entries, revision, within, &log)
                 .await;
         }
         acceptor.run(stop, log).await;
--- a/crates/gateway/src/postgres/messages.rs
+++ b/crates/gateway/src/postgres/messages.rs
@@ -20,51 +20,53 @@
 
 /// A length that can't be: framing is lost.
 #[derive(Debug, PartialEq)]
-pub struct Misframed;
+pub struct InvalidPacketLength;
 
 /// The next message of a buffer.
 #[derive(Debug, PartialEq)]
-pub enum Read {
+pub enum DecodeResult {
     /// More bytes are needed for the message: so many in all, 0 while its length is not known.
-    Short(usize),
+    Incomplete(usize),
     /// A message with its type and body.
     Message(u8, Vec<u8>),
     /// A message longer than is taken.
-    Long,
+    TooLong,
     /// The length is impossible: framing is lost.
-    Broken,
+    InvalidLength,
 }
 
 /// Takes the next message out of the buffer, once it is there whole.
-pub fn next(buffer: &mut RingBuffer) -> Read {
+pub fn decode_message(buffer: &mut RingBuffer) -> DecodeResult {
     let Some([tag, a, b, c, d]) = buffer.peek::<5>(0) else {
-        return Read::Short(0);
+        return DecodeResult::Incomplete(0);
     };
     let length = i32::from_be_bytes([a, b, c, d]);
     if length < 4 {
-        return Read::Broken;
+        return DecodeResult::InvalidLength;
     }
     let whole = 1 + length as usize;
     if whole > MAX_MESSAGE {
-        return Read::Long;
+        return DecodeResult::TooLong;
     }
     if buffer.len() < whole {
-        return Read::Short(whole);
+        return DecodeResult::Incomplete(whole);
     }
     buffer.skip(5);
-    Read::Message(tag, buffer.take(whole - 5))
+    DecodeResult::Message(tag, buffer.take(whole - 5))
 }
 
 /// The first packet of a connection: its code and what follows; it carries no type.
-pub fn startup(buffer: &mut RingBuffer) -> Result<Option<(i32, Vec<u8>)>, Misframed> {
+pub fn decode_startup_packet(
+    buffer: &mut RingBuffer,
+) -> Result<Option<(i32, Vec<u8>)>, InvalidPacketLength> {
     let Some(head) = buffer.peek::<8>(0) else {
         return Ok(None);
     };
     let number =
         |at: usize| i32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let whole = usize::try_from(number(0)).map_err(|_| Misframed)?;
+    let whole = usize::try_from(number(0)).map_err(|_| InvalidPacketLength)?;
     if !(8..=MAX_STARTUP_PACKET).contains(&whole) {
-        return Err(Misframed);
+        return Err(InvalidPacketLength);
     }
     if buffer.len() < whole {
         return Ok(None);
@@ -74,7 +76,7 @@
 }
 
 /// Appends a message.
-pub fn put(out: &mut Vec<u8>, tag: u8, body: &[&[u8]]) {
+pub fn put_message(out: &mut Vec<u8>, tag: u8, body: &[&[u8]]) {
     let length: usize = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(tag);
     out.extend_from_slice(&(length as u32).to_be_bytes());
@@ -86,9 +88,9 @@
     let mut out = Vec::new();
     if minor > 0 {
         // The newest minor version known here, and no option that was not understood.
-        put(&mut out, b'v', &[&0i32.to_be_bytes(), &0i32.to_be_bytes()]);
+        put_message(&mut out, b'v', &[&0i32.to_be_bytes(), &0i32.to_be_bytes()]);
     }
-    put(&mut out, b'R', &[&0i32.to_be_bytes()]);
+    put_message(&mut out, b'R', &[&0i32.to_be_bytes()]);
     let parameters = [
         ("server_version", "15.0 (leverpoint)"),
         ("server_encoding", "UTF8"),
@@ -98,24 +100,31 @@
         ("standard_conforming_strings", "on"),
     ];
     for (name, value) in parameters {
-        put(
+        put_message(
             &mut out,
             b'S',
             &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"],
         );
     }
-    key.into_iter().for_each(|key| put(&mut out, b'K', &[&key]));
-    ready(&mut out);
+    key.into_iter()
+        .for_each(|key| put_message(&mut out, b'K', &[&key]));
+    put_ready_for_query(&mut out);
     out
 }
 
 /// Appends a ReadyForQuery outside of a transaction.
-pub fn ready(out: &mut Vec<u8>) {
-    put(out, b'Z', &[b"I"]);
+pub fn put_ready_for_query(out: &mut Vec<u8>) {
+    put_message(out, b'Z', &[b"I"]);
 }
 
 /// Appends an ErrorResponse; `fatal` where the connection ends with it.
-pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<&str>) {
+pub fn put_error_response(
+    out: &mut Vec<u8>,
+    fatal: bool,
+    code: &str,
+    text: &str,
+    detail: Option<&str>,
+) {
     let severity: &[u8] = if fatal { b"FATAL\0" } else { b"ERROR\0" };
     let mut body = vec![
         &b"S"[..],
@@ -131,11 +140,11 @@
         body.extend([&b"\0D"[..], detail.as_bytes()]);
     }
     body.push(b"\0\0");
-    put(out, b'E', &body);
+    put_message(out, b'E', &body);
 }
 
 /// Appends a NoticeResponse.
-pub fn notice(out: &mut Vec<u8>, text: &str, detail: &str) {
+pub fn put_notice_response(out: &mut Vec<u8>, text: &str, detail: &str) {
     let body = [
         b"SNOTICE\0VNOTICE\0C00000\0M",
         text.as_bytes(),
@@ -143,7 +152,7 @@
         detail.as_bytes(),
         b"\0\0",
     ];
-    put(out, b'N', &body);
+    put_message(out, b'N', &body);
 }
 
 /// The StartupMessage to a server.
@@ -157,7 +166,7 @@
 
 /// The five-character code of an ErrorResponse that is whole: fields of a letter and a text, each ended by a zero
 /// byte, and one more at the end.
-pub fn code(body: &[u8]) -> Option<&[u8]> {
+pub fn sqlstate(body: &[u8]) -> Option<&[u8]> {
     let fields = body.strip_suffix(b"\0\0")?;
     let code = |field: &[u8]| field.len() == 6 && field[1..].iter().all(u8::is_ascii_alphanumeric);
     let mut found = None;
@@ -173,14 +182,14 @@
 }
 
 /// Name and value of a ParameterStatus.
-pub fn parameter(body: &[u8]) -> Option<(&str, &str)> {
+pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let text = std::str::from_utf8(body).ok()?;
     let mut words = text.split('\0');
     Some((words.next()?, words.next()?))
 }
 
 /// Whether a RowDescription is of one column, whole and with nothing behind it.
-pub fn describes_one(body: &[u8]) -> bool {
+pub fn describes_one_column(body: &[u8]) -> bool {
     // A name ended by a zero byte, then eighteen bytes of numbers.
     let name_and_rest = body.strip_prefix(&[0, 1]).unwrap_or_default();
     name_and_rest
@@ -190,7 +199,7 @@
 }
 
 /// Whether a DataRow is of one value whose length is that of what is there.
-pub fn holds_one(body: &[u8]) -> bool {
+pub fn holds_one_value(body: &[u8]) -> bool {
     let value = body
         .strip_prefix(&[0, 1])
         .and_then(<[u8]>::split_first_chunk::<4>);
@@ -200,7 +209,7 @@
 }
 
 /// Whether a CommandComplete is that of one row read or written.
-pub fn completes(body: &[u8], write: bool) -> bool {
+pub fn completes_one_row(body: &[u8], write: bool) -> bool {
     body == if write {
         &b"INSERT 0 1\0"[..]
     } else {
--- a/crates/gateway/src/postgres/query_comment.rs
+++ b/crates/gateway/src/postgres/query_comment.rs
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// The SQLSTATE and the reason, where the query is not in the protocol's form.
-pub fn read(text: &str) -> Result<Query<'_>, Refusal> {
+pub fn parse_query(text: &str) -> Result<Query<'_>, Refusal> {
     let body = text.trim_end_matches(|c: char| c.is_whitespace() || c == ';');
     if body.trim_start().is_empty() {
         return Ok(Query::Empty);
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -35,7 +35,7 @@
             Ok(reloaded) => {
                 let mut needs_restart = self.node.changed_keys(&reloaded);
                 needs_restart.retain(|key| key != "discovery");
-                let moved = self.agent.move_to(reloaded.discovery);
+                let moved = self.agent.set(reloaded.discovery);
                 slog::info!(self.log, "configuration reloaded"; "discovery" => reloaded.discovery.to_string(),
                     "moved" => moved, "needs_restart" => needs_restart.join(" "));
             }
--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -14,7 +14,7 @@
 use leverpoint_runtime::{Instant, now, plant, timeout_at};
 
 use crate::io::connection::BufferedConnection;
-use crate::postgres::messages::{self, Read};
+use crate::postgres::messages::{self, DecodeResult};
 use crate::server::connection::ServerConnection;
 
 /// Least time that a server has to become ready after a whole row.
@@ -127,24 +127,26 @@
     fn on_message(&mut self, message: AnswerMessage, order: &Attempt) -> Result<(), AttemptError> {
         let AnswerMessage { tag, body, room } = message;
         match (tag, self.outcome) {
-            (b'T', None) if self.row.messages.is_empty() && messages::describes_one(&body) => {
+            (b'T', None)
+                if self.row.messages.is_empty() && messages::describes_one_column(&body) =>
+            {
                 order.progress.set(Progress::Answering);
-                messages::put(&mut self.row.messages, tag, &[&body]);
+                messages::put_message(&mut self.row.messages, tag, &[&body]);
             }
             (b'D', None)
                 if !self.has_row
                     && !self.row.messages.is_empty()
-                    && (messages::holds_one(&body) || plant("unchecked")) =>
+                    && (messages::holds_one_value(&body) || plant("unchecked")) =>
             {
                 self.has_row = true;
-                messages::put(&mut self.row.messages, tag, &[&body]);
+                messages::put_message(&mut self.row.messages, tag, &[&body]);
                 self.row.reservations.extend(room);
             }
             (b'I', None) if order.statement.is_none() => {
                 self.outcome = Some(AttemptOutcome::Answered);
             }
             (b'E', None) => self.outcome = Some(self.error_outcome(&body)),
-            (b'S', _) => self.said.record(messages::parameter(&body)),
+            (b'S', _) => self.said.record(messages::parse_parameter_status(&body)),
             (b'N', _) => {}
             _ => return Err(order.error(Cause::ProtocolViolation)),
         }
@@ -153,7 +155,7 @@
 
     /// The outcome that an ErrorResponse stands for.
     fn error_outcome(&self, body: &[u8]) -> AttemptOutcome {
-        match messages::code(body) {
+        match messages::sqlstate(body) {
             // A statement whose answer has begun was executed, whatever the server says then.
             _ if !self.row.messages.is_empty() => AttemptOutcome::Error,
             Some(b"25006" | b"72000") => AttemptOutcome::NotCaughtUp,
@@ -211,8 +213,10 @@
                 Err(error) => return parts.on_connection_error(&error, &progress),
             };
             match (message.tag, parts.outcome) {
-                (b'C', None) if parts.has_row && messages::completes(&message.body, writes) => {
-                    messages::put(&mut parts.row.messages, message.tag, &[&message.body]);
+                (b'C', None)
+                    if parts.has_row && messages::completes_one_row(&message.body, writes) =>
+                {
+                    messages::put_message(&mut parts.row.messages, message.tag, &[&message.body]);
                     order.on_row_complete(std::mem::take(&mut parts.row));
                     progress.on_row_complete(
                         ticks_to_duration(caps.ready_timeout).max(MIN_READY_TIMEOUT),
@@ -255,13 +259,15 @@
     ) -> io::Result<AnswerMessage> {
         let mut room = None;
         loop {
-            let length = match messages::next(&mut self.socket.input) {
-                Read::Message(tag, body) => {
+            let length = match messages::decode_message(&mut self.socket.input) {
+                DecodeResult::Message(tag, body) => {
                     self.socket.expect_usual();
                     return Ok(AnswerMessage { tag, body, room });
                 }
-                Read::Long | Read::Broken => return Err(ErrorKind::InvalidData.into()),
-                Read::Short(length) => length,
+                DecodeResult::TooLong | DecodeResult::InvalidLength => {
+                    return Err(ErrorKind::InvalidData.into());
+                }
+                DecodeResult::Incomplete(length) => length,
             };
             let order = progress.order;
             if let Some(peer) = &order.client {
--- a/crates/gateway/src/server/connection.rs
+++ b/crates/gateway/src/server/connection.rs
@@ -12,7 +12,7 @@
 use leverpoint_runtime::{Instant, now};
 
 use crate::io::connection::BufferedConnection;
-use crate::postgres::messages::{self, Read};
+use crate::postgres::messages::{self, DecodeResult};
 
 /// An open connection.
 pub(super) struct ServerConnection {
@@ -53,7 +53,7 @@
         loop {
             match connection.next_startup_message().await? {
                 (b'Z', _) if connection.socket.input.is_empty() => return Ok(connection),
-                (b'E', body) if messages::code(&body) == Some(b"53300") => {
+                (b'E', body) if messages::sqlstate(&body) == Some(b"53300") => {
                     return Err(ErrorKind::QuotaExceeded.into());
                 }
                 (b'R', body) if body != [0; 4] => return Err(ErrorKind::PermissionDenied.into()),
@@ -65,13 +65,15 @@
 
     async fn next_startup_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
         loop {
-            match messages::next(&mut self.socket.input) {
-                Read::Message(tag, body) => {
+            match messages::decode_message(&mut self.socket.input) {
+                DecodeResult::Message(tag, body) => {
                     self.socket.expect_usual();
                     return Ok((tag, body));
                 }
-                Read::Long | Read::Broken => return Err(ErrorKind::InvalidData.into()),
-                Read::Short(_) => {
+                DecodeResult::TooLong | DecodeResult::InvalidLength => {
+                    return Err(ErrorKind::InvalidData.into());
+                }
+                DecodeResult::Incomplete(_) => {
                     self.socket.read().await?;
                 }
             }
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -34,7 +34,7 @@
         sleep(ACCEPT_GRACE).await;
         self.acceptor.stop.notify_one();
         self.acceptor.stopped.notified().await;
-        self.context.leaving.evict_all();
+        self.context.eviction.evict_all();
         let last = last + FLUSH_TIME / 2;
         while self.counters.clients.in_use() > 0 && now() < last {
             sleep(CLIENTS_POLL_INTERVAL).await;
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,20 +1,20 @@
 //! The parsers on bytes split everywhere and on what no peer should send.
 
 use leverpoint_engine::UNRESERVED_BYTES;
-use leverpoint_gateway::discovery::endpoint_list::endpoint_list;
+use leverpoint_gateway::discovery::endpoint_list::parse_endpoint_list;
 use leverpoint_gateway::io::ring_buffer::RingBuffer;
-use leverpoint_gateway::postgres::messages::{self, Read};
+use leverpoint_gateway::postgres::messages::{self, DecodeResult};
 use leverpoint_gateway::postgres::query_comment;
 
 /// All messages that come out of the bytes, put in as two pieces split at `at`.
-fn messages(bytes: &[u8], at: usize) -> Vec<Read> {
+fn messages(bytes: &[u8], at: usize) -> Vec<DecodeResult> {
     let mut ring = RingBuffer::default();
     let mut out = Vec::new();
     for piece in [&bytes[..at], &bytes[at..]] {
         assert_eq!(ring.push(piece), piece.len());
         loop {
-            match messages::next(&mut ring) {
-                Read::Short(_) => break,
+            match messages::decode_message(&mut ring) {
+                DecodeResult::Incomplete(_) => break,
                 read => out.push(read),
             }
         }
@@ -25,16 +25,16 @@
 #[test]
 fn messages_parse_alike_wherever_they_are_split() {
     let mut bytes = Vec::new();
-    messages::put(&mut bytes, b'Q', &[b"SELECT 1", b"\0"]);
-    messages::error(&mut bytes, false, "53300", "throttled", Some("400"));
-    messages::ready(&mut bytes);
+    messages::put_message(&mut bytes, b'Q', &[b"SELECT 1", b"\0"]);
+    messages::put_error_response(&mut bytes, false, "53300", "throttled", Some("400"));
+    messages::put_ready_for_query(&mut bytes);
     let whole = messages(&bytes, 0);
     for at in 1..bytes.len() {
         assert_eq!(messages(&bytes, at), whole, "split at {at}");
     }
     let mut trace = String::new();
     for read in &whole {
-        let Read::Message(tag, body) = read else {
+        let DecodeResult::Message(tag, body) = read else {
             panic!("{read:?}")
         };
         trace += &format!(
@@ -83,7 +83,7 @@
     for (name, head) in heads {
         let mut ring = RingBuffer::default();
         ring.push(head);
-        trace += &format!("{name}: {:?}\n", messages::next(&mut ring));
+        trace += &format!("{name}: {:?}\n", messages::decode_message(&mut ring));
     }
     for head in [
         &b"\0\0\0\x08\x04\xd2\x16\x2f"[..],
@@ -92,7 +92,10 @@
     ] {
         let mut ring = RingBuffer::default();
         ring.push(head);
-        trace += &format!("startup: {:?}\n", messages::startup(&mut ring));
+        trace += &format!(
+            "startup: {:?}\n",
+            messages::decode_startup_packet(&mut ring)
+        );
     }
     insta::assert_snapshot!(trace);
 }
@@ -152,7 +155,7 @@
     texts.extend(changed.map(|(what, to)| write.replacen(what, to, 1)));
     let mut trace = String::new();
     for text in texts {
-        trace += &format!("{text}\n    {:?}\n", query_comment::read(&text));
+        trace += &format!("{text}\n    {:?}\n", query_comment::parse_query(&text));
     }
     insta::assert_snapshot!(trace);
 }
@@ -161,11 +164,11 @@
 fn a_truncated_statement_is_refused_or_parsed_but_never_extended() {
     let text = "INSERT INTO records (k, v) VALUES ('5c', '\\x9f') RETURNING v /* id=1,c=order,k=a1,cluster=3,d=480 */";
     assert!(matches!(
-        query_comment::read(text),
+        query_comment::parse_query(text),
         Ok(query_comment::Query::Request(_))
     ));
     for at in 0..text.len() {
-        let read = query_comment::read(&text[..at]);
+        let read = query_comment::parse_query(&text[..at]);
         assert!(
             !matches!(read, Ok(query_comment::Query::Request(_))),
             "cut at {at}: {read:?}"
@@ -184,15 +187,15 @@
         .unwrap()
         .replace('\n', "\r\n\t ")
         + "\r\n\r\n";
-    let told = endpoint_list(plain.as_bytes()).unwrap();
+    let told = parse_endpoint_list(plain.as_bytes()).unwrap();
     assert_eq!(
         (told.revision, told.full, told.entries.len()),
         (41, true, 2)
     );
-    assert_eq!(endpoint_list(indented.as_bytes()), Some(told));
+    assert_eq!(parse_endpoint_list(indented.as_bytes()), Some(told));
     for cut in 0..plain.len() {
         assert_eq!(
-            endpoint_list(&plain.as_bytes()[..cut]),
+            parse_endpoint_list(&plain.as_bytes()[..cut]),
             None,
             "cut at {cut}"
         );
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -103,7 +103,7 @@
                 let text = format!(
                     "INSERT INTO records (k, v) VALUES ('s{nth}-{part}', '\\x9f') RETURNING v /* id={nth}-{part},c=order,d=900,cluster=2 */"
                 );
-                let Ok(Query::Request(said)) = query_comment::read(&text) else { panic!("{text}") };
+                let Ok(Query::Request(said)) = query_comment::parse_query(&text) else { panic!("{text}") };
                 let ticket = exchange.on_request(&said, &text, now(), &peer).unwrap_or_else(|e| panic!("{e:?}"));
                 assert!(matches!(ticket.await, FinalAnswer::Answered(_)), "{text}");
             }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -35,12 +35,14 @@
         write(&mut bytes);
         out.push(hex(&bytes));
     };
-    appended(&|bytes| messages::ready(bytes));
-    appended(&|bytes| messages::error(bytes, false, "53300", "throttled", Some("120")));
-    appended(&|bytes| messages::error(bytes, true, "08P01", "bad length", None));
-    appended(&|bytes| messages::notice(bytes, "token", "abc"));
+    appended(&|bytes| messages::put_ready_for_query(bytes));
+    appended(&|bytes| {
+        messages::put_error_response(bytes, false, "53300", "throttled", Some("120"))
+    });
+    appended(&|bytes| messages::put_error_response(bytes, true, "08P01", "bad length", None));
+    appended(&|bytes| messages::put_notice_response(bytes, "token", "abc"));
     appended(&|bytes| bytes.extend(messages::startup_message()));
-    appended(&|bytes| messages::put(bytes, b'Q', &[b"SELECT", b"\0"]));
+    appended(&|bytes| messages::put_message(bytes, b'Q', &[b"SELECT", b"\0"]));
     insta::assert_snapshot!(out.join("\n"));
 }
 
