--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -137,9 +137,11 @@
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
-            self.tracker
-                .borrow_mut()
-                .on_clocks_read(now, (unix().as_micros() / 100) as Ticks, now);
+            self.tracker.borrow_mut().on_clocks_read(
+                now,
+                (unix_time().as_micros() / 100) as Ticks,
+                now,
+            );
         }
     }
 
--- a/crates/test-support/src/replica_set.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -72,7 +72,7 @@
 }
 
 impl ReplicaSet {
-    pub fn new(build: Build, machines: usize) -> Arc<ReplicaSet> {
+    pub fn new(build: ReplicaSetConfig, machines: usize) -> Arc<ReplicaSet> {
         let state = State {
             model: Model::new(build, machines),
             wrote: BTreeMap::new(),
@@ -115,7 +115,7 @@
     }
 
     pub fn switch_over(&self, to: usize) {
-        self.state.lock().unwrap().model.hand_over(to);
+        self.state.lock().unwrap().model.switch_primary(to);
     }
 
     /// A replica applies nothing more, or all of it again.
@@ -197,7 +197,7 @@
             let needless = primary
                 && others
                     .into_iter()
-                    .any(|m| state.model.position(now, m) >= wrote);
+                    .any(|m| state.model.applied_position(now, m) >= wrote);
             let id = comment_value(text, "id").unwrap_or_default().to_owned();
             state.reads.insert(
                 id,
@@ -248,7 +248,7 @@
 
 /// A set that serves: its members, and the list that names them.
 pub fn start_replica_set(
-    build: Build,
+    build: ReplicaSetConfig,
     many: usize,
     work: Duration,
 ) -> (Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
