--- a/crates/gateway/src/acceptor.rs
+++ b/crates/gateway/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections.
+//! Accepts client connections at the rate that backpressure allows, and starts a task for each.
 
 use std::io;
 use std::pin::pin;
@@ -12,95 +12,102 @@
 
 use crate::client::{self, ClientContext};
 
-/// How long accepting waits for a discovery agent that is silent.
+/// How long the first accept waits for the discovery agent to answer.
 ///
-/// An agent that is there answers at once; clients are not kept waiting for one that is not.
-const AGENT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time within which a connection in the system's queue can be accepted.
-const BACKLOG_TIMEOUT: Duration = Duration::from_millis(1);
-/// Longest time that a connection waits in the system's queue of 1,024.
+/// A running agent answers at once; clients must not wait long for one that is down.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time within which a connection that already waits in the kernel's accept queue is accepted.
+const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(1);
+/// Longest time that a connection waits in the kernel's accept queue of 1,024.
 const MAX_BACKLOG_AGE: Duration = Duration::from_secs(1);
 
-/// Accepts clients and starts a task for each.
+/// The listening socket, and what a client connection is started with.
 pub(crate) struct Acceptor {
     pub(crate) listener: Listener,
     pub(crate) descriptors: Rc<DescriptorBudget>,
     pub(crate) context: Rc<ClientContext>,
-    /// The endpoint list was restored and lists are pushed.
+    /// Whether to poll the discovery agent once before the first client is accepted.
     ///
-    /// Such a list may name servers that drain by now, and what the agent has counts as known from the first moment:
-    /// nothing is accepted before the agent has been asked once.
-    pub(crate) restored_list: bool,
+    /// Set where the endpoint list was restored and lists are pushed: a restored list may name servers that drain by
+    /// now, and with pushed lists the gateway counts as knowing the agent's list from the first request on.
+    pub(crate) wait_for_discovery: bool,
 }
 
 impl Acceptor {
-    /// Accepts until it is notified to stop, and then what the system has accepted by that time.
+    /// Accepts until `stop` is notified, and then the connections that are still in the kernel's accept queue.
     pub(crate) async fn run(self, stop: Rc<Notify>, log: slog::Logger) {
-        let mut late = Duration::ZERO;
-        // The last time known at which no connection waited to be accepted.
-        let mut empty = now();
-        if self.restored_list {
+        let mut overshoot = Duration::ZERO;
+        // The last time known at which the kernel's accept queue was empty.
+        let mut queue_empty_at = now();
+        if self.wait_for_discovery {
             tokio::select! {
                 biased;
                 () = self.context.exchange.discovery_answered() => {}
                 () = stop.notified() => stop.notify_one(),
-                () = sleep(AGENT_TIMEOUT) => {}
+                () = sleep(DISCOVERY_TIMEOUT) => {}
             }
         }
         loop {
             let accepted = tokio::select! {
                 biased;
-                accepted = self.accept(&mut empty) => accepted,
+                accepted = self.accept(&mut queue_empty_at) => accepted,
                 () = stop.notified() => break,
             };
             match accepted {
-                Ok(stream) => self.on_accepted(stream, empty, &mut late).await,
+                Ok(stream) => {
+                    self.on_accepted(stream, queue_empty_at, &mut overshoot)
+                        .await
+                }
                 Err(error) => self.on_accept_error(&error, &log).await,
             }
         }
-        // Long enough that the system is asked once more: what it has accepted a moment ago may not be known here.
-        while let Ok(Ok(stream)) = timeout(BACKLOG_TIMEOUT, self.accept(&mut empty)).await {
-            self.start_client(stream, empty).await;
+        // The timeout lets the runtime poll the kernel once more: it may not yet have reported the newest connections.
+        while let Ok(Ok(stream)) =
+            timeout(LAST_ACCEPT_TIMEOUT, self.accept(&mut queue_empty_at)).await
+        {
+            self.start_client(stream, queue_empty_at).await;
         }
     }
 
-    /// Starts a client and keeps the rate of arrivals; `late` is by how much the last pause was exceeded.
-    async fn on_accepted(&self, stream: Stream, empty: Instant, late: &mut Duration) {
-        self.start_client(stream, empty).await;
-        let pause = self.context.peers.accept_delay(std::mem::take(late));
+    /// Starts a client, then pauses as backpressure asks; `overshoot` is how much longer the last pause took than
+    /// asked.
+    async fn on_accepted(&self, stream: Stream, queue_empty_at: Instant, overshoot: &mut Duration) {
+        self.start_client(stream, queue_empty_at).await;
+        let pause = self.context.peers.accept_delay(std::mem::take(overshoot));
         if !pause.is_zero() {
-            let before = now();
+            let paused_at = now();
             sleep(pause).await;
-            *late = since(before).saturating_sub(pause);
+            *overshoot = since(paused_at).saturating_sub(pause);
         }
     }
 
     async fn on_accept_error(&self, error: &io::Error, log: &slog::Logger) {
         increment(&self.context.exchange.metrics.clients.refused);
         slog::warn!(log, "accepting failed"; "why" => error.to_string());
-        // Out of something that only time gives back: a pause, not a spin.
+        // The process or the kernel is out of a resource that only becomes free with time: pause instead of spinning.
         sleep(self.context.exchange.connect_timeout()).await;
     }
 
-    /// Accepts the next connection, which came after `empty`; that is moved on to the last time at which none waited.
-    async fn accept(&self, empty: &mut Instant) -> io::Result<Stream> {
+    /// Accepts the next connection, and advances `queue_empty_at` to the last time known before which none waited.
+    async fn accept(&self, queue_empty_at: &mut Instant) -> io::Result<Stream> {
         let mut accept = pin!(self.listener.accept());
         if let Some(accepted) = poll_once(accept.as_mut()).await {
-            *empty = now()
+            *queue_empty_at = now()
                 .checked_sub(MAX_BACKLOG_AGE)
-                .map_or(*empty, |longest| longest.max(*empty));
+                .map_or(*queue_empty_at, |earliest| earliest.max(*queue_empty_at));
             return accepted;
         }
         let accepted = accept.await;
-        *empty = now();
+        *queue_empty_at = now();
         accepted
     }
 
-    async fn start_client(&self, stream: Stream, connected: Instant) {
+    /// Starts the task of a client that connected after `connected_after`, once there is a descriptor for it.
+    async fn start_client(&self, stream: Stream, connected_after: Instant) {
         let (descriptor, has_capacity) = self.descriptors.acquire_for_client().await;
         spawn(client::serve(
             stream,
-            connected,
+            connected_after,
             self.context.clone(),
             descriptor,
             has_capacity,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A running gateway: its parts, and how they are put together.
+//! Assembles the parts of a gateway, starts their tasks and logs their metrics.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -32,39 +32,44 @@
 use crate::replication::{self, Replication};
 use crate::server::ServerPool;
 
-/// Stops the acceptor and tells when it has stopped.
+/// Stops the acceptor task and waits for its end.
 #[derive(Clone, Default)]
 pub(crate) struct AcceptorHandle {
+    /// Notified by the gateway: accept no further connections.
     pub(crate) stop: Rc<Notify>,
+    /// Notified by the acceptor once it has accepted its last connection.
     pub(crate) stopped: Rc<Notify>,
 }
 
-/// A running gateway.
+/// A running gateway: handles to the parts whose tasks [`Gateway::start`] has started.
 pub struct Gateway {
     pub(crate) node: NodeConfig,
+    /// The operator's file that was applied last.
     pub(crate) operator: RefCell<OperatorConfig>,
-    /// Requests and their attempts.
+    /// Routes requests and keeps track of their attempts.
     pub engine: Rc<Engine>,
-    /// The client connections as backpressure sees them.
+    /// Throughput and buffer reservations of the client connections, for backpressure.
     pub client_connections: Rc<ClientConnections>,
-    /// The metrics.
+    /// Counters of requests and connections, shared with the engine.
     pub metrics: Rc<Metrics>,
     pub(crate) context: Rc<ClientContext>,
-    pub(crate) agent: Rc<DiscoveryAddress>,
-    pub(crate) kept: Option<Rc<GroupCommit>>,
-    /// This process as a member of a fleet, where it is one.
+    pub(crate) discovery_address: Rc<DiscoveryAddress>,
+    /// Persists session positions; none where that is not configured or the disk failed at the start.
+    pub(crate) position_writer: Option<Rc<GroupCommit>>,
+    /// The membership protocol; none where the operator's file configures no fleet.
     pub member: Option<Rc<MemberNode>>,
-    /// Replication, where it is on.
+    /// Replication of gateway state; none where it is not configured.
     pub replication: Option<Rc<Replication>>,
     pub(crate) acceptor: AcceptorHandle,
     pub(crate) log: slog::Logger,
 }
 
-/// The limits for slow clients: derived from the configured limits, overridden by the operator's file.
+/// Returns the limits on slow clients: derived from the configured memory and descriptors, overridden by the operator's
+/// file.
 ///
 /// # Errors
 ///
-/// The faulty key of the operator's file.
+/// Names the key of the operator's file whose value is invalid.
 pub fn backpressure_limits(
     node: &NodeConfig,
     operator: &OperatorConfig,
@@ -79,11 +84,13 @@
     operator.backpressure_limits(Limits::from_resources(&resources), MAX_MESSAGE)
 }
 
-/// The configuration of replication; none where it is off.
+/// Returns the configuration of replication; none where it is off.
+///
+/// The longest client timeout or deduplication window of all request classes bounds how long records have to be kept.
 ///
 /// # Errors
 ///
-/// The faulty key of the operator's file.
+/// Names the key of the operator's file whose value is invalid.
 pub fn replication_settings(
     node: &NodeConfig,
     operator: &OperatorConfig,
@@ -102,65 +109,74 @@
     )
 }
 
-/// The memory for answers and statements over this is what connections may read ahead.
+/// `Limits::total`, the bytes held for all connections, divided by this is what all connections may read ahead.
 const READ_AHEAD_DIVISOR: usize = 8;
 
-/// What client and server connections share.
+/// The metrics, budgets and pools that client and server connections share.
 struct ConnectionResources {
     metrics: Rc<Metrics>,
     client_connections: Rc<ClientConnections>,
-    leaving: Rc<ConnectionEviction>,
+    eviction: Rc<ConnectionEviction>,
     descriptors: Rc<DescriptorBudget>,
     servers: Rc<ServerPool>,
 }
 
 impl ConnectionResources {
-    /// The resources of a gateway of whose descriptors `reserved` are for connections to other members.
-    fn new(node: &NodeConfig, limits: Limits, reserved: usize, log: &slog::Logger) -> Self {
-        let opened = &node.settings;
-        let facts = &opened.routing;
-        let metrics = Rc::new(Metrics::new(&opened.classes));
-        let (classes, tenants) = (facts.classes.len(), facts.tenants.len());
+    /// Creates the resources; `member_descriptors` of the process's descriptors are reserved for the membership
+    /// protocol.
+    fn new(
+        node: &NodeConfig,
+        limits: Limits,
+        member_descriptors: usize,
+        log: &slog::Logger,
+    ) -> Self {
+        let node_settings = &node.settings;
+        let routing = &node_settings.routing;
+        let metrics = Rc::new(Metrics::new(&node_settings.classes));
+        let (classes, tenants) = (routing.classes.len(), routing.tenants.len());
         let client_connections =
-            ClientConnections::new(limits, classes, tenants, facts.seed, log.clone());
-        let sockets = node.limits.sockets - reserved;
-        let leaving = ConnectionEviction::new(sockets, client_connections.clone());
-        let descriptors = DescriptorBudget::new(sockets, leaving.clone());
+            ClientConnections::new(limits, classes, tenants, routing.seed, log.clone());
+        let sockets = node.limits.sockets - member_descriptors;
+        let eviction = ConnectionEviction::new(sockets, client_connections.clone());
+        let descriptors = DescriptorBudget::new(sockets, eviction.clone());
         let servers = ServerPool::new(
             descriptors.clone(),
             client_connections.clone(),
             metrics.clone(),
-            opened.connect_timeout,
-            opened.idle_close,
+            node_settings.connect_timeout,
+            node_settings.idle_close,
         );
         ConnectionResources {
             metrics,
             client_connections,
-            leaving,
+            eviction,
             descriptors,
             servers,
         }
     }
 
-    /// What the client connections share.
+    /// Returns the context that every client connection is served with.
     fn client_context(&self, engine: Rc<Engine>, limits: &Limits) -> Rc<ClientContext> {
         Rc::new(ClientContext {
             exchange: engine,
             peers: self.client_connections.clone(),
-            leaving: self.leaving.clone(),
+            leaving: self.eviction.clone(),
             cancel_keys: Rc::default(),
-            // Out of the third of the memory that is neither for statements nor for answers.
+            // Taken from the third of the memory that is reserved neither for statements nor for answers.
             read_ahead: Rc::new(Cell::new(limits.total / READ_AHEAD_DIVISOR)),
         })
     }
 }
 
 impl Gateway {
-    /// Starts a gateway that serves the clients of `listener`.
+    /// Starts the tasks of a gateway that serves the clients of `listener`.
+    ///
+    /// `member` is the listener for other members of the fleet; without it the gateway neither joins one nor
+    /// replicates.
     ///
     /// # Errors
     ///
-    /// The key of the configuration or the operator's file that is at fault.
+    /// Names the key of the configuration or of the operator's file whose value is invalid.
     pub fn start(
         mut node: NodeConfig,
         operator: OperatorConfig,
@@ -170,44 +186,57 @@
     ) -> Result<Self, ConfigError> {
         let limits = backpressure_limits(&node, &operator)?;
         let settings = replication_settings(&node, &operator)?.filter(|_| member.is_some());
-        // A member whose fleet replicates roles announces the primaries that it hears of.
+        // Where the fleet replicates primaries, each member announces those that servers report to it.
         node.settings.routing.permissions.gossip |= settings.is_some();
 
-        // Connections of members are bounded by themselves; what is left is for clients and servers.
-        let reserved = member
+        // Connections to members have their own bound; the remaining descriptors are for clients and servers.
+        let member_descriptors = member
             .as_ref()
             .map_or(0, super::membership::MembershipListener::descriptors);
-        let resources = ConnectionResources::new(&node, limits, reserved, &log);
-        let follow = operator.session_tracking(node.settings.routing.seed)?;
-        let opened = node.settings.clone();
+        let resources = ConnectionResources::new(&node, limits, member_descriptors, &log);
+        let session_tracking = operator.session_tracking(node.settings.routing.seed)?;
+        let node_settings = node.settings.clone();
         let metrics = resources.metrics.clone();
-        let engine = Engine::new(opened, metrics, follow.clone(), log.clone());
-        let kept = follow.and_then(|follow| persistence::start(&follow, &engine, &log));
+        let engine = Engine::new(
+            node_settings,
+            metrics,
+            session_tracking.clone(),
+            log.clone(),
+        );
+        let position_writer =
+            session_tracking.and_then(|tracking| persistence::start(&tracking, &engine, &log));
         engine.set_executor(resources.servers.clone());
         let restored = restore_endpoint_list(&mut node, &engine);
         let (member, replication) = start_member(member, settings.as_ref(), &node.name, &log);
-        if let Some(holders) = &replication {
-            engine.set_replicated_state(holders.clone());
+        if let Some(replicated_state) = &replication {
+            engine.set_replicated_state(replicated_state.clone());
         }
         slog::info!(log, "serving"; "name" => &node.name, "listen" => node.listen.to_string());
         spawn(engine.clone().run_timers());
         spawn(resources.servers.clone().close_expired());
         spawn(resources.client_connections.clone().monitor());
-        let agent = DiscoveryAddress::new(node.discovery);
-        spawn(watch::run(agent.clone(), engine.clone(), log.clone()));
+        let discovery_address = DiscoveryAddress::new(node.discovery);
+        spawn(watch::run(
+            discovery_address.clone(),
+            engine.clone(),
+            log.clone(),
+        ));
         let context = resources.client_context(engine.clone(), &limits);
         let acceptor = Acceptor {
             listener,
             descriptors: resources.descriptors,
             context: context.clone(),
-            restored_list: restored.is_some() && node.settings.routing.endpoint_list.pushed,
+            wait_for_discovery: restored.is_some() && node.settings.routing.endpoint_list.pushed,
         };
         let recovery = replication
             .clone()
             .zip(settings)
-            .map(|(holders, settings)| {
-                let within = ticks_to_duration(settings.startup_wait);
-                StartupRecovery { holders, within }
+            .map(|(replicated_state, settings)| {
+                let timeout = ticks_to_duration(settings.startup_wait);
+                StartupRecovery {
+                    replicated_state,
+                    timeout,
+                }
             });
         let acceptor = start_acceptor(acceptor, recovery, restored, log.clone());
         Ok(Gateway {
@@ -217,8 +246,8 @@
             client_connections: resources.client_connections,
             metrics: resources.metrics,
             context,
-            agent,
-            kept,
+            discovery_address,
+            position_writer,
             member,
             replication,
             acceptor,
@@ -226,18 +255,18 @@
         })
     }
 
-    /// Logs the metrics and the sizes of the tables.
+    /// Logs all metrics, the sizes of the tables and the age of the endpoint list, a line for each part.
     pub fn log_metrics(&self) {
         slog::info!(self.log, "counters"; "all" => self.metrics.summary());
         slog::info!(self.log, "tables"; "hold" => format!("{:?}", self.engine.table_sizes()),
             "cancel_keys" => self.context.cancel_keys.len());
-        let (age, left) = self.engine.endpoint_list_age();
+        let (age, remaining) = self.engine.endpoint_list_age();
         slog::info!(self.log, "discovery"; "revision" => self.engine.endpoint_list_revision(),
             "list_age_ms" => age.map(|age| age.as_millis() as u64),
-            "list_ends_in_ms" => left.map(|left| left.as_millis() as u64));
+            "list_ends_in_ms" => remaining.map(|remaining| remaining.as_millis() as u64));
         slog::info!(self.log, "peers"; "all" => self.client_connections.summary());
-        if let Some(ledger) = &self.engine.session_consistency {
-            slog::info!(self.log, "sessions"; "all" => ledger.summary());
+        if let Some(session_consistency) = &self.engine.session_consistency {
+            slog::info!(self.log, "sessions"; "all" => session_consistency.summary());
         }
         if let Some(member) = &self.member {
             slog::info!(self.log, "member"; "all" => member.metrics_line());
@@ -248,7 +277,7 @@
     }
 }
 
-/// Gives the engine the endpoint list that the configuration remembers.
+/// Gives the engine the last known endpoint list from the configuration; none where it has no valid one.
 fn restore_endpoint_list(node: &mut NodeConfig, engine: &Rc<Engine>) -> Option<EndpointList> {
     let known = node.known_endpoints.take()?;
     let list = endpoint_list(known.get().as_bytes())?;
@@ -256,7 +285,7 @@
     Some(list)
 }
 
-/// Starts this process as a member of its fleet, and its replication where `settings` configures it.
+/// Starts this process as a member of its fleet, and its replication if `settings` are given.
 fn start_member(
     member: Option<membership::MembershipListener>,
     settings: Option<&ReplicationSettings>,
@@ -267,20 +296,27 @@
         return (None, None);
     };
     let disk = member.membership.disk.clone();
-    let (member, fresh) = membership::start(member, name, log);
-    let replication =
-        settings.map(|settings| replication::start(&member, settings, disk.as_deref(), fresh, log));
-    (Some(member), replication)
+    let (member_runtime, is_new_storage) = membership::start(member, name, log);
+    let replication = settings.map(|settings| {
+        replication::start(
+            &member_runtime,
+            settings,
+            disk.as_deref(),
+            is_new_storage,
+            log,
+        )
+    });
+    (Some(member_runtime), replication)
 }
 
 /// Recovery of drains and primaries from the replica holders, before the first client is accepted.
 struct StartupRecovery {
-    holders: Rc<Replication>,
-    /// Longest time that it may take.
-    within: Duration,
+    replicated_state: Rc<Replication>,
+    /// After this, clients are accepted with what has been recovered so far.
+    timeout: Duration,
 }
 
-/// Recovers what the replica holders know, then accepts clients.
+/// Starts the task that recovers drains and primaries from the replica holders and then accepts clients.
 fn start_acceptor(
     acceptor: Acceptor,
     recovery: Option<StartupRecovery>,
@@ -290,11 +326,21 @@
     let handle = AcceptorHandle::default();
     let AcceptorHandle { stop, stopped } = handle.clone();
     spawn(async move {
-        if let Some(StartupRecovery { holders, within }) = recovery {
+        if let Some(StartupRecovery {
+            replicated_state,
+            timeout,
+        }) = recovery
+        {
             let (entries, revision) =
                 restored.map_or((Vec::new(), 0), |list| (list.entries, list.revision));
-            holders
-                .recover(&acceptor.context.exchange, &entries, revision, within, &log)
+            replicated_state
+                .recover(
+                    &acceptor.context.exchange,
+                    &entries,
+                    revision,
+                    timeout,
+                    &log,
+                )
                 .await;
         }
         acceptor.run(stop, log).await;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,7 @@
-//! The gateway's network code: PostgreSQL's protocol to clients and servers, HTTP/1.1 to discovery, and what puts
-//! them together. It stands on `leverpoint-runtime`, so the daemon and a simulator run the same code.
+//! The network side of a gateway: the PostgreSQL protocol towards clients and servers, HTTP/1.1 towards discovery,
+//! fleet membership and replication, and the startup, reload and shutdown of them all.
+//!
+//! All I/O, timers and tasks go through `leverpoint-runtime`, so the daemon and the simulator run the same code.
 
 #![warn(missing_docs)]
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The `leverpoint` program.
+//! The `leverpoint` binary: the gateway daemon, and the commands that check its configuration and query a running one.
 
 mod cli;
 mod daemon;
--- a/crates/gateway/src/persistence.rs
+++ b/crates/gateway/src/persistence.rs
@@ -1,7 +1,7 @@
 //! Persistence of session positions: recovers them at the start and persists new ones.
 //!
-//! The event loop never waits for the disk. Without one, or where it fails, the gateway starts without the positions, and
-//! sessions count as never met.
+//! The event loop never waits for the disk. Without one, or where it fails, the gateway starts without the positions,
+//! and sessions count as never met.
 
 use std::rc::Rc;
 
@@ -12,7 +12,8 @@
     ALL_SESSIONS, Directory, GroupCommit, LogLimits, LogRecord, SegmentedLog,
 };
 
-/// Recovers the persisted positions and starts to persist new ones; none where that is not configured or the disk fails.
+/// Recovers the persisted positions and starts to persist new ones; none where that is not configured or the disk
+/// fails.
 pub fn start(
     follow: &SessionTracking,
     exchange: &Engine,
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -318,8 +318,8 @@
 const RECORD_WAIT_DIVISOR: u32 = 2;
 
 impl Replication {
-    /// Reads a record from a quorum of its replica holders; from fewer where a quorum does not answer in its part of the
-    /// time until `by`.
+    /// Reads a record from a quorum of its replica holders; from fewer where a quorum does not answer in its part of
+    /// the time until `by`.
     async fn read_record(&self, kind: RecordKey, by: Instant) -> Option<Record> {
         let by = now() + by.saturating_duration_since(now()) / RECORD_WAIT_DIVISOR;
         loop {
