--- a/crates/gateway/src/acceptor.rs
+++ b/crates/gateway/src/acceptor.rs
@@ -38,7 +38,7 @@
     pub(crate) async fn run(self, stop: Rc<Notify>, log: slog::Logger) {
         let mut overshoot = Duration::ZERO;
         // The last time known at which the kernel's accept queue was empty.
-        let mut queue_empty_at = now();
+        let mut empty_at = now();
         if self.wait_for_discovery {
             tokio::select! {
                 biased;
@@ -50,29 +50,24 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                accepted = self.accept(&mut queue_empty_at) => accepted,
+                accepted = self.accept(&mut empty_at) => accepted,
                 () = stop.notified() => break,
             };
             match accepted {
-                Ok(stream) => {
-                    self.on_accepted(stream, queue_empty_at, &mut overshoot)
-                        .await
-                }
+                Ok(stream) => self.on_accepted(stream, empty_at, &mut overshoot).await,
                 Err(error) => self.on_accept_error(&error, &log).await,
             }
         }
         // The timeout lets the runtime poll the kernel once more: it may not yet have reported the newest connections.
-        while let Ok(Ok(stream)) =
-            timeout(LAST_ACCEPT_TIMEOUT, self.accept(&mut queue_empty_at)).await
-        {
-            self.start_client(stream, queue_empty_at).await;
+        while let Ok(Ok(stream)) = timeout(LAST_ACCEPT_TIMEOUT, self.accept(&mut empty_at)).await {
+            self.start_client(stream, empty_at).await;
         }
     }
 
     /// Starts a client, then pauses as backpressure asks; `overshoot` is how much longer the last pause took than
     /// asked.
-    async fn on_accepted(&self, stream: Stream, queue_empty_at: Instant, overshoot: &mut Duration) {
-        self.start_client(stream, queue_empty_at).await;
+    async fn on_accepted(&self, stream: Stream, empty_at: Instant, overshoot: &mut Duration) {
+        self.start_client(stream, empty_at).await;
         let pause = self.context.peers.accept_delay(std::mem::take(overshoot));
         if !pause.is_zero() {
             let paused_at = now();
@@ -88,17 +83,17 @@
         sleep(self.context.exchange.connect_timeout()).await;
     }
 
-    /// Accepts the next connection, and advances `queue_empty_at` to the last time known before which none waited.
-    async fn accept(&self, queue_empty_at: &mut Instant) -> io::Result<Stream> {
+    /// Accepts the next connection, and advances `empty_at` to the last time known before which none waited.
+    async fn accept(&self, empty_at: &mut Instant) -> io::Result<Stream> {
         let mut accept = pin!(self.listener.accept());
         if let Some(accepted) = poll_once(accept.as_mut()).await {
-            *queue_empty_at = now()
+            *empty_at = now()
                 .checked_sub(MAX_BACKLOG_AGE)
-                .map_or(*queue_empty_at, |earliest| earliest.max(*queue_empty_at));
+                .map_or(*empty_at, |earliest| earliest.max(*empty_at));
             return accepted;
         }
         let accepted = accept.await;
-        *queue_empty_at = now();
+        *empty_at = now();
         accepted
     }
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,8 +1,9 @@
-//! This process as a member of a fleet: its incarnation, its persisted state and its log lines.
+//! Runs this process as a member of a fleet: chooses its incarnation, persists its state and logs membership events.
 //!
 //! # Invariants
 //!
-//! A member votes only with state that it is sure of: what its folder does not give back whole counts as lost.
+//! A member votes only with state that it has recovered in full: state that is missing, corrupt or unreadable counts as
+//! lost, and the member starts with a new storage id.
 
 use std::rc::Rc;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -20,40 +21,42 @@
 use leverpoint_storage::{Directory, snapshot};
 use tokio::sync::oneshot;
 
-/// A membership, and the listener for other members.
+/// The configuration of the membership, and the socket on which other members connect.
 pub struct MembershipListener {
-    /// The membership as configured.
+    /// Fleet, addresses, keys and protocol parameters from the operator's file.
     pub membership: MembershipSettings,
-    /// Accepts the connections of other members.
+    /// Bound to the address `members.listen`.
     pub listener: Listener,
 }
 
 impl MembershipListener {
-    /// DescriptorBudget that membership may use: its connections, one that is being accepted, and the listening socket.
+    /// Number of descriptors that membership may use: its connections, one that is being accepted, and the listening
+    /// socket.
     pub fn descriptors(&self) -> usize {
         self.membership.max_connections + 2
     }
 }
 
-/// The membership that the operator's file configures, in the zone of the configuration.
+/// Returns the membership that the operator's file configures, in the zone of the configuration; none where it
+/// configures none.
 ///
 /// # Errors
 ///
-/// The faulty key of the operator's file.
+/// Names the key of the operator's file that is missing or invalid.
 pub fn membership_settings(
     node: &NodeConfig,
     operator: &OperatorConfig,
 ) -> Result<Option<MembershipSettings>, ConfigError> {
-    let facts = &node.settings.routing;
+    let routing = &node.settings.routing;
     let zone = node
         .settings
         .zones
-        .get(facts.zone)
+        .get(routing.zone)
         .map_or("", String::as_str);
     operator.membership(&node.name, zone, node.limits.sockets)
 }
 
-/// The fleet's name, keys and addresses, as the connections between members check them.
+/// Returns what connections between members authenticate each other with: the fleet's name, keys and address overrides.
 pub fn fleet_identity(membership: &MembershipSettings) -> FleetConfig {
     FleetConfig {
         name: membership.fleet.clone(),
@@ -62,24 +65,25 @@
     }
 }
 
-/// A source of unguessable numbers, from the operating system.
+/// Returns a source of unpredictable numbers, for nonces and storage ids.
 pub fn random_numbers() -> Box<dyn FnMut() -> u64> {
-    // Where the system has none the clock stands in: two connections of one nanosecond would share a number.
+    // If the operating system's source fails, the clock is used instead: two connections opened in the same nanosecond
+    // would share a nonce.
     Box::new(|| unguessable().unwrap_or_else(|| unix().as_nanos() as u64))
 }
 
-/// Reads the state that an earlier incarnation has persisted.
-fn read_state(folder: &mut Directory, log: &slog::Logger) -> Option<PersistedState> {
-    match snapshot::read(folder) {
+/// Reads the state that an earlier incarnation has persisted; logs why if it cannot be used.
+fn read_state(directory: &mut Directory, log: &slog::Logger) -> Option<PersistedState> {
+    match snapshot::read(directory) {
         Ok(snapshot::SnapshotRead::Complete(value)) => {
-            let kept = decode_state(&value);
-            if kept.is_none() {
+            let state = decode_state(&value);
+            if state.is_none() {
                 slog::error!(
                     log,
-                    "member state is of another program; its storage is lost"
+                    "member state has an unknown format; its storage is lost"
                 );
             }
-            kept
+            state
         }
         Ok(snapshot::SnapshotRead::Missing) => None,
         Ok(snapshot::SnapshotRead::Corrupt) => {
@@ -93,7 +97,7 @@
     }
 }
 
-/// State to persist, and whom to notify whether that has succeeded.
+/// Encoded state to persist, and the sender that reports whether that has succeeded.
 type PersistRequest = (Vec<u8>, oneshot::Sender<bool>);
 
 /// Persists the member's state on a thread of its own, so that the event loop does not wait for the disk.
@@ -101,23 +105,23 @@
     queue: SyncSender<PersistRequest>,
 }
 
-/// Most states on their way to the disk.
+/// Maximum number of states queued for the writer thread.
 const QUEUE_LENGTH: usize = 128;
 
-/// Persists what is received until the queue is closed.
-fn persist_all(mut folder: Directory, requests: &Receiver<PersistRequest>) {
+/// Persists each received state until the queue is closed; runs on the writer thread.
+fn persist_all(mut directory: Directory, requests: &Receiver<PersistRequest>) {
     let mut failed = false;
     while let Ok((mut value, notify)) = requests.recv() {
         let mut waiting = vec![notify];
-        // The newest stands for those before it.
+        // Only the newest queued state is written: it replaces those before it.
         while let Ok((newer, notify)) = requests.try_recv() {
             value = newer;
             waiting.push(notify);
         }
-        // After a failure nobody knows what the disk has.
-        failed |= snapshot::write(&mut folder, &value).is_err();
+        // After a failed write the content of the disk is unknown, so all later writes count as failed.
+        failed |= snapshot::write(&mut directory, &value).is_err();
         for notify in waiting {
-            // Nobody waits any more where the member has ended.
+            // The receiver is gone if the member has ended.
             let _ = notify.send(!failed);
         }
     }
@@ -133,7 +137,7 @@
     }
 }
 
-/// A new incarnation whose memory nobody else has; a memory is never 0.
+/// Returns an incarnation with a new, random storage id, which is never 0.
 fn new_incarnation(number: u64, random_numbers: &mut dyn FnMut() -> u64) -> Incarnation {
     Incarnation {
         number,
@@ -141,18 +145,19 @@
     }
 }
 
-/// The state that a member starts with, and what persists its changes.
+/// The state that a member starts with, and the store for its changes.
 struct StartState {
-    kept: PersistedState,
-    keeper: Option<Box<dyn StateStore>>,
-    /// The memory is a new one.
-    fresh: bool,
+    member_state: PersistedState,
+    /// `None` if there is no directory, or it failed.
+    state_store: Option<Box<dyn StateStore>>,
+    /// Whether the storage id is new rather than recovered.
+    is_new_storage: bool,
 }
 
-/// Opens the member's folder.
-fn open_folder(path: &str, log: &slog::Logger) -> Option<Directory> {
+/// Opens the directory of the member's state; logs a failure.
+fn open_directory(path: &str, log: &slog::Logger) -> Option<Directory> {
     match Directory::open(path) {
-        Ok(folder) => Some(folder),
+        Ok(directory) => Some(directory),
         Err(e) => {
             slog::error!(log, "member state is not persisted"; "disk" => path, "why" => e.to_string());
             None
@@ -160,99 +165,101 @@
     }
 }
 
-/// Recovers the state of an earlier incarnation from the folder, and persists the new incarnation there.
+/// Recovers the state of an earlier incarnation from the directory, and persists the new incarnation there.
+///
+/// Falls back to new storage if there is no directory or it fails.
 fn recover_state(
-    folder: Option<Directory>,
+    directory: Option<Directory>,
     random_numbers: &mut dyn FnMut() -> u64,
     log: &slog::Logger,
 ) -> StartState {
-    let life = unix().as_millis() as u64;
+    let incarnation_number = unix().as_millis() as u64;
     let mut state = StartState {
-        kept: PersistedState {
-            incarnation: new_incarnation(life, random_numbers),
+        member_state: PersistedState {
+            incarnation: new_incarnation(incarnation_number, random_numbers),
             ..PersistedState::default()
         },
-        keeper: None,
-        fresh: true,
+        state_store: None,
+        is_new_storage: true,
     };
-    let Some(mut folder) = folder else {
+    let Some(mut directory) = directory else {
         return state;
     };
-    if let Some(before) = read_state(&mut folder, log) {
+    if let Some(previous_state) = read_state(&mut directory, log) {
         let Incarnation {
-            number: last,
+            number: previous_number,
             storage_id,
-        } = before.incarnation;
-        state.fresh = false;
-        state.kept = PersistedState {
+        } = previous_state.incarnation;
+        state.is_new_storage = false;
+        state.member_state = PersistedState {
             incarnation: Incarnation {
-                number: life.max(last + 1),
+                number: incarnation_number.max(previous_number + 1),
                 storage_id,
             },
-            ..before
+            ..previous_state
         };
     }
-    // Before anybody hears of this incarnation, so that no later one takes its number again.
-    match snapshot::write(&mut folder, &encode_state(&state.kept)) {
-        Ok(()) => state.keeper = start_writer(folder),
+    // Persisted before other members learn of this incarnation, so that no later one can reuse its number.
+    match snapshot::write(&mut directory, &encode_state(&state.member_state)) {
+        Ok(()) => state.state_store = start_writer(directory),
         Err(e) => {
             slog::error!(log, "member state is not persisted"; "why" => e.to_string());
-            state.kept = PersistedState {
-                incarnation: new_incarnation(life, random_numbers),
+            state.member_state = PersistedState {
+                incarnation: new_incarnation(incarnation_number, random_numbers),
                 ..PersistedState::default()
             };
-            state.fresh = true;
+            state.is_new_storage = true;
         }
     }
     state
 }
 
-/// Starts the thread that persists the member's state.
-fn start_writer(folder: Directory) -> Option<Box<dyn StateStore>> {
+/// Starts the thread that persists the member's state; `None` if it cannot be started.
+fn start_writer(directory: Directory) -> Option<Box<dyn StateStore>> {
     let (queue, requests) = sync_channel(QUEUE_LENGTH);
     let started = thread::Builder::new()
         .name("member".into())
-        .spawn(move || persist_all(folder, &requests));
+        .spawn(move || persist_all(directory, &requests));
     started
         .ok()
         .map(|_| Box::new(StateWriter { queue }) as Box<dyn StateStore>)
 }
 
-/// Starts this process as a member; returns whether its memory is a new one.
+/// Starts this process as a member; also returns whether its storage id is new.
 ///
-/// Without a folder, or with one that fails, the memory ends with the process.
+/// Without a directory, or with one that fails, the storage lasts only as long as the process.
 pub fn start(
-    member: MembershipListener,
+    member_listener: MembershipListener,
     name: &str,
     log: &slog::Logger,
 ) -> (Rc<leverpoint_peer_transport::MemberRuntime>, bool) {
     let MembershipListener {
         membership,
         listener,
-    } = member;
+    } = member_listener;
     let mut random_numbers = random_numbers();
-    let folder = membership.disk.as_ref();
-    let folder = folder.and_then(|path| open_folder(path, log));
+    let directory = membership.disk.as_ref();
+    let directory = directory.and_then(|path| open_directory(path, log));
     let StartState {
-        kept,
-        keeper,
-        fresh,
-    } = recover_state(folder, &mut *random_numbers, log);
-    let card = MemberInfo {
+        member_state,
+        state_store,
+        is_new_storage,
+    } = recover_state(directory, &mut *random_numbers, log);
+    let member_info = MemberInfo {
         name: name.to_owned(),
         address: membership.address.clone(),
         zone: membership.zone.clone(),
         machine: membership.machine.clone(),
         program_version: env!("CARGO_PKG_VERSION").to_owned(),
-        incarnation: kept.incarnation,
+        incarnation: member_state.incarnation,
     };
-    slog::info!(log, "member started"; "name" => name, "address" => &card.address, "fleet" => &membership.fleet,
-        "life" => kept.incarnation.number, "memory" => format!("{:016x}", kept.incarnation.storage_id),
-        "layout" => kept.layout.version);
+    slog::info!(log, "member started"; "name" => name, "address" => &member_info.address, "fleet" => &membership.fleet,
+        "life" => member_state.incarnation.number, "memory" => format!("{:016x}", member_state.incarnation.storage_id),
+        "layout" => member_state.layout.version);
     let event_log = log.clone();
-    let start = MemberStartup {
-        info: card,
-        persisted: kept,
+    let startup = MemberStartup {
+        info: member_info,
+        persisted: member_state,
         founders: membership.founders.clone(),
         seeds: membership.seeds.clone(),
         config: membership.config,
@@ -260,28 +267,28 @@
         fleet: fleet_identity(&membership),
         max_connections: membership.max_connections,
         nonces: random_numbers,
-        store: keeper,
+        store: state_store,
         on_event: Box::new(move |event| log_event(&event_log, event)),
     };
     (
-        leverpoint_peer_transport::MemberRuntime::start(start, listener),
-        fresh,
+        leverpoint_peer_transport::MemberRuntime::start(startup, listener),
+        is_new_storage,
     )
 }
 
-/// Logs what has happened to the membership.
+/// Logs a membership event, at the level of its consequences for the operator.
 fn log_event(log: &slog::Logger, event: &MembershipEvent) {
     match event {
         MembershipEvent::Admitted => slog::info!(log, "member admitted"),
         MembershipEvent::StatusChanged {
             name,
             incarnation,
-            previous: before,
-            status: seen,
+            previous: old,
+            status: new,
         } => {
-            let before = before.map_or("unknown".to_owned(), |seen| status_name(seen).to_owned());
-            slog::info!(log, "member status changed"; "who" => name, "life" => incarnation.number, "before" => before,
-                "seen" => status_name(*seen));
+            let old = old.map_or("unknown".to_owned(), |known| status_name(known).to_owned());
+            slog::info!(log, "member status changed"; "who" => name, "life" => incarnation.number, "before" => old,
+                "seen" => status_name(*new));
         }
         MembershipEvent::NameInUse { by } => {
             slog::error!(log, "member name already in use"; "by" => by);
@@ -299,8 +306,8 @@
         MembershipEvent::LayoutConflict { version, from } => {
             slog::error!(log, "conflicting layouts of one version"; "version" => version, "from" => from);
         }
-        MembershipEvent::Paused { duration: span } => {
-            slog::warn!(log, "member was paused"; "ms" => span / 10);
+        MembershipEvent::Paused { duration: pause } => {
+            slog::warn!(log, "member was paused"; "ms" => pause / 10);
         }
         MembershipEvent::BootstrapMissing => {
             slog::warn!(
@@ -314,9 +321,9 @@
     }
 }
 
-/// The name of a member's status in logs and on the command line.
-pub fn status_name(seen: MemberStatus) -> &'static str {
-    match seen {
+/// Returns the name of a member's status as logs and the command line print it: `here`, `doubted`, `gone` or `left`.
+pub fn status_name(status: MemberStatus) -> &'static str {
+    match status {
         MemberStatus::Alive => "here",
         MemberStatus::Suspect => "doubted",
         MemberStatus::Dead => "gone",
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -1,9 +1,10 @@
-//! This gateway's part in replication: the persisted records, the exchange's access to the replica holders, and what a
-//! start recovers from them before the first request.
+//! This gateway's part in replication: persists the records that it holds, gives the engine access to the replica
+//! holders, and recovers drains and primaries from them before the first request.
 //!
 //! # Invariants
 //!
-//! A record counts as persisted only once the disk has it. A start waits for replica holders within its bound.
+//! A record counts as persisted only once the disk has it. Recovery at a start ends by its timeout, whether or not the
+//! replica holders have answered.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,42 +29,43 @@
 use leverpoint_storage::{Directory, LogLimits, LogRecord, SegmentedLog};
 use tokio::sync::oneshot;
 
-/// Key of the metadata beside the records; no record is numbered 0.
+/// Key under which the log holds the metadata; no record has the key 0.
 const METADATA_KEY: u64 = 0;
 
-/// Records to persist, and whom to notify whether that has succeeded.
+/// Records to persist, and the sender that reports whether that has succeeded.
 type Batch = (Vec<LogRecord>, oneshot::Sender<bool>);
 
 /// Persists records on a thread of its own, so that the event loop does not wait for the disk.
 struct RecordWriter {
     queue: SyncSender<Batch>,
-    memory: u64,
+    /// Written beside the metadata, which is valid only with this storage id.
+    storage_id: u64,
 }
 
-/// Most batches on their way to the disk.
+/// Maximum number of batches queued for the writer thread.
 const QUEUE_LENGTH: usize = 4_096;
 
-/// Bytes of a segment of the log of records.
+/// Size of a segment of the record log.
 const SEGMENT_BYTES: usize = 16 << 20;
 
-/// Persists what is received until the queue is closed, as many batches at once as wait.
+/// Persists the received batches until the queue is closed, all queued ones in one commit; runs on the writer thread.
 fn persist_all(mut store: SegmentedLog<Directory>, batches: &Receiver<Batch>) {
-    while let Ok((mut items, notify)) = batches.recv() {
+    while let Ok((mut log_records, notify)) = batches.recv() {
         let mut waiting = vec![notify];
         while let Ok((more, notify)) = batches.try_recv() {
-            items.extend(more);
+            log_records.extend(more);
             waiting.push(notify);
         }
-        let persisted = items.is_empty() || store.commit(&items).is_ok();
+        let persisted = log_records.is_empty() || store.commit(&log_records).is_ok();
         for notify in waiting {
-            // Nobody waits any more where the gateway has ended.
+            // The receiver is gone if the gateway has ended.
             let _ = notify.send(persisted);
         }
     }
 }
 
-/// A record as it is persisted.
-fn item(record: &Record) -> Option<LogRecord> {
+/// Encodes a record for the log; `None` if it cannot be serialized.
+fn log_record(record: &Record) -> Option<LogRecord> {
     let value = postcard::to_stdvec(record).ok()?;
     Some(LogRecord::Replicated {
         key: record.key.hash(),
@@ -76,33 +78,36 @@
     fn persist(
         &self,
         records: Vec<Record>,
-        meta: Option<PersistedMetadata>,
+        metadata: Option<PersistedMetadata>,
         then: Box<dyn FnOnce(bool)>,
     ) {
-        let mut items: Vec<LogRecord> = records.iter().filter_map(item).collect();
-        let meta = meta.and_then(|meta| postcard::to_stdvec(&(self.memory, meta)).ok());
-        items.extend(meta.map(|value| LogRecord::Replicated {
+        let mut log_records: Vec<LogRecord> = records.iter().filter_map(log_record).collect();
+        let metadata =
+            metadata.and_then(|metadata| postcard::to_stdvec(&(self.storage_id, metadata)).ok());
+        log_records.extend(metadata.map(|value| LogRecord::Replicated {
             key: METADATA_KEY,
             last_touched: Ticks::MAX,
             value,
         }));
         let (notify, persisted) = oneshot::channel();
-        if self.queue.try_send((items, notify)).is_err() {
+        if self.queue.try_send((log_records, notify)).is_err() {
             return then(false);
         }
         spawn(async move { then(persisted.await.unwrap_or(false)) });
     }
 }
 
-/// Opens the store and reads the records that an earlier incarnation has persisted; logs what can't be read.
+/// Opens the record log and reads what an earlier incarnation has persisted; logs failures.
+///
+/// The metadata is returned only if no record was torn and it was written with the same storage id.
 fn open_store(
     path: &str,
     limits: LogLimits,
-    memory: u64,
+    storage_id: u64,
     log: &slog::Logger,
 ) -> Option<(SegmentedLog<Directory>, RecoveredState)> {
     let opened = Directory::open(format!("{path}/copies"))
-        .and_then(|folder| SegmentedLog::open(folder, limits));
+        .and_then(|directory| SegmentedLog::open(directory, limits));
     let (store, read) = match opened {
         Ok(opened) => opened,
         Err(e) => {
@@ -110,18 +115,18 @@
             return None;
         }
     };
-    let meta = read
+    let stored_metadata = read
         .replicated_records
         .get(&METADATA_KEY)
         .and_then(|(_, value)| postcard::from_bytes::<(u64, PersistedMetadata)>(value).ok());
-    let whole = read.torn_records.is_empty();
-    if !whole {
+    let is_complete = read.torn_records.is_empty();
+    if !is_complete {
         slog::error!(log, "replication log file truncated; records may be lost";
             "file" => &read.torn_records[0].file, "at" => read.torn_records[0].offset);
     }
-    let meta = meta
-        .filter(|(of, _)| whole && *of == memory)
-        .map(|(_, meta)| meta);
+    let stored_metadata = stored_metadata
+        .filter(|(owner, _)| is_complete && *owner == storage_id)
+        .map(|(_, metadata)| metadata);
     let records = read
         .replicated_records
         .iter()
@@ -129,88 +134,92 @@
     let records: Vec<Record> = records
         .filter_map(|(_, (_, value))| postcard::from_bytes(value).ok())
         .collect();
-    slog::info!(log, "replicated records recovered"; "many" => records.len(), "whole" => meta.is_some());
+    slog::info!(log, "replicated records recovered"; "many" => records.len(), "whole" => stored_metadata.is_some());
     Some((
         store,
         RecoveredState {
-            metadata: meta,
+            metadata: stored_metadata,
             records,
         },
     ))
 }
 
-/// Replication as the exchange uses it.
+/// Implements the engine's [`ReplicatedState`] on the replicator of this member.
 pub struct Replication {
-    /// The replicator of this member.
+    /// Runs the replication protocol with the other members.
     pub runtime: Rc<ReplicationRuntime>,
-    /// The primaries announced last, by replica set.
-    roles: RefCell<BTreeMap<u16, PrimaryRole>>,
-    /// The drains announced last.
-    listed: RefCell<Option<EndpointSummary>>,
+    /// The primaries published last, by replica set: an unchanged one is not published again.
+    primaries: RefCell<BTreeMap<u16, PrimaryRole>>,
+    /// The endpoint summary published last: an unchanged one is not published again.
+    published_summary: RefCell<Option<EndpointSummary>>,
+    /// Largest difference between the clocks of two members.
     clock_skew: Ticks,
 }
 
-/// Opens the member's records and starts the thread that persists them.
+/// Opens the member's record log and starts the thread that writes it.
 ///
-/// `fresh`: the member's memory is a new one.
+/// `is_new_storage`: the member's storage id is new, so no other member counts on its records.
 fn open_records(
     disk: Option<&str>,
     limits: LogLimits,
-    memory: u64,
-    fresh: bool,
+    storage_id: u64,
+    is_new_storage: bool,
     log: &slog::Logger,
 ) -> (Option<RecoveredState>, Option<Box<dyn ReplicationStore>>) {
-    let Some((store, left)) = disk.and_then(|path| open_store(path, limits, memory, log)) else {
-        // The others take this memory for one that has what it was given, and nothing of it can be read.
-        let lost = disk.is_some() && !fresh;
+    let Some((log_store, recovered)) =
+        disk.and_then(|path| open_store(path, limits, storage_id, log))
+    else {
+        // Other members assume that this storage id has the records it acknowledged, but none of them can be read.
+        let lost = disk.is_some() && !is_new_storage;
         return (lost.then(RecoveredState::default), None);
     };
     let (queue, batches) = sync_channel(QUEUE_LENGTH);
     let started = thread::Builder::new()
         .name("copies".into())
-        .spawn(move || persist_all(store, &batches));
+        .spawn(move || persist_all(log_store, &batches));
     let writer = started
         .ok()
-        .map(|_| Box::new(RecordWriter { queue, memory }) as Box<dyn ReplicationStore>);
-    // With a new memory nobody takes this member for a holder that has the records: they are only a help.
-    ((!fresh).then_some(left), writer)
+        .map(|_| Box::new(RecordWriter { queue, storage_id }) as Box<dyn ReplicationStore>);
+    // With a new storage id no other member assumes that this one has any records, so the recovered ones are not
+    // needed.
+    ((!is_new_storage).then_some(recovered), writer)
 }
 
-/// Starts the replication of a member.
+/// Starts replication on a member.
 ///
-/// `disk` is the member's folder, which has its memory; `fresh`: that memory is a new one.
+/// `disk` is the member's directory, which also holds its storage id; `is_new_storage`: that id is new.
 pub fn start(
-    node: &Rc<MemberRuntime>,
-    copying: &ReplicationSettings,
+    member: &Rc<MemberRuntime>,
+    settings: &ReplicationSettings,
     disk: Option<&str>,
-    fresh: bool,
+    is_new_storage: bool,
     log: &slog::Logger,
 ) -> Rc<Replication> {
-    let memory = node.with_member(|fellow| fellow.local().info.incarnation.storage_id);
+    let storage_id = member.with_member(|state| state.local().info.incarnation.storage_id);
     let limits = LogLimits {
         segment_bytes: SEGMENT_BYTES,
-        position_retention: copying.config.limits.position_retention,
+        position_retention: settings.config.limits.position_retention,
         ..LogLimits::default()
     };
-    let (kept, keeper) = open_records(disk, limits, memory, fresh, log);
+    let (recovered, store) = open_records(disk, limits, storage_id, is_new_storage, log);
     let event_log = log.clone();
-    let says = Box::new(move |event: &ReplicationEvent| log_event(&event_log, event));
-    let runtime = ReplicationRuntime::start(node, copying.config, kept, keeper, says);
+    let on_event = Box::new(move |event: &ReplicationEvent| log_event(&event_log, event));
+    let runtime = ReplicationRuntime::start(member, settings.config, recovered, store, on_event);
     Rc::new(Replication {
         runtime,
-        roles: RefCell::default(),
-        listed: RefCell::default(),
-        clock_skew: copying.config.max_clock_skew,
+        primaries: RefCell::default(),
+        published_summary: RefCell::default(),
+        clock_skew: settings.config.max_clock_skew,
     })
 }
 
-/// Logs what has happened to replication.
+/// Logs a replication event, at the level of its consequences for the operator.
 fn log_event(log: &slog::Logger, event: &ReplicationEvent) {
     match event {
         ReplicationEvent::LayoutsConverged {
-            layout_version: version,
+            layout_version: converged_version,
         } => {
-            slog::info!(log, "replication layout settled"; "layout" => version);
+            slog::info!(log, "replication layout settled"; "layout" => converged_version);
         }
         ReplicationEvent::DataLost { until } => {
             slog::error!(log, "replicated records lost beyond the quorum"; "until" => until / 10);
@@ -221,7 +230,8 @@
         ),
         ReplicationEvent::QuorumRestored => slog::info!(log, "replica holders reachable again"),
         ReplicationEvent::ReadInexact(cause) => {
-            slog::warn!(log, "session reads require the present"; "why" => cause.as_str(),
+            slog::warn!(log, "session positions not known exactly; session reads require current replicas";
+                "why" => cause.as_str(),
                 "members" => cause.members().join(" "));
         }
         ReplicationEvent::DiskFailed => {
@@ -235,24 +245,26 @@
         &self,
         session: u64,
         claim: Option<IdempotencyClaim>,
-        most: Ticks,
-        then: Box<dyn FnOnce(u64, WriteDecision)>,
+        max_wait: Ticks,
+        on_decision: Box<dyn FnOnce(u64, WriteDecision)>,
     ) -> u64 {
-        let came = self.runtime.now();
+        let arrived_at = self.runtime.now();
         let window = claim.map(|claim| claim.deduplication_window);
         let clock_skew = self.clock_skew;
-        let ends = move |first: Ticks| window.map(|window| first + window - clock_skew);
-        let then = move |ticket, go| {
-            let leave = match go {
+        // A retry must start within the deduplication window, even if the first attempt was timed by a clock that is
+        // ahead.
+        let latest_start = move |first: Ticks| window.map(|window| first + window - clock_skew);
+        let on_clearance = move |ticket, clearance| {
+            let decision = match clearance {
                 WriteClearance::QuorumAcknowledged(IdempotencyDecision::FirstAttempt)
                 | WriteClearance::WithoutQuorum => WriteDecision::Proceed {
                     first_attempt_at: None,
-                    start_by: ends(came),
+                    start_by: latest_start(arrived_at),
                 },
                 WriteClearance::QuorumAcknowledged(IdempotencyDecision::Retry(first)) => {
                     WriteDecision::Proceed {
                         first_attempt_at: Some(first),
-                        start_by: ends(first),
+                        start_by: latest_start(first),
                     }
                 }
                 WriteClearance::QuorumAcknowledged(IdempotencyDecision::OutcomeUnknown) => {
@@ -260,34 +272,39 @@
                 }
                 WriteClearance::Rejected(wait) => WriteDecision::Shed(wait),
             };
-            then(ticket, leave);
+            on_decision(ticket, decision);
         };
         self.runtime
-            .request_write(session, claim, most, Box::new(then))
+            .request_write(session, claim, max_wait, Box::new(on_clearance))
     }
 
-    fn finish_write(&self, ticket: u64, came: WriteOutcome) {
-        self.runtime.on_write_finished(ticket, came);
+    fn finish_write(&self, ticket: u64, outcome: WriteOutcome) {
+        self.runtime.on_write_finished(ticket, outcome);
     }
 
-    fn session_position(&self, session: u64, most: Ticks, then: Box<dyn FnOnce(Option<Ticks>)>) {
-        self.runtime.request_read(session, most, then);
+    fn session_position(
+        &self,
+        session: u64,
+        max_wait: Ticks,
+        on_position: Box<dyn FnOnce(Option<Ticks>)>,
+    ) {
+        self.runtime.request_read(session, max_wait, on_position);
     }
 
-    fn record_primary(&self, set: u16, server: &str, at: Ticks) {
-        let mut roles = self.roles.borrow_mut();
-        let before = roles.get(&set);
-        if before.is_some_and(|role| role.server == server || role.observed_at > at) {
+    fn record_primary(&self, set: u16, server: &str, reported_at: Ticks) {
+        let mut primaries = self.primaries.borrow_mut();
+        let previous = primaries.get(&set);
+        if previous.is_some_and(|role| role.server == server || role.observed_at > reported_at) {
             return;
         }
-        let term = before.map_or(1, |role| role.term + 1);
+        let term = previous.map_or(1, |role| role.term + 1);
         let role = PrimaryRole {
             term,
-            observed_at: at,
+            observed_at: reported_at,
             server: server.to_owned(),
         };
-        roles.insert(set, role.clone());
-        drop(roles);
+        primaries.insert(set, role.clone());
+        drop(primaries);
         self.runtime.publish(&Record {
             key: RecordKey::Primary(set),
             value: RecordValue::Primary(role),
@@ -295,140 +312,151 @@
     }
 
     fn record_drained_servers(&self, revision: u64, drained: Vec<String>) {
-        let before = self.listed.borrow().clone();
-        if before.is_some_and(|before| before.revision == revision && before.drained == drained) {
+        let previous = self.published_summary.borrow().clone();
+        if previous
+            .is_some_and(|previous| previous.revision == revision && previous.drained == drained)
+        {
             return;
         }
-        let listed = EndpointSummary {
+        let summary = EndpointSummary {
             revision,
             observed_at: self.runtime.now(),
             drained,
         };
-        *self.listed.borrow_mut() = Some(listed.clone());
+        *self.published_summary.borrow_mut() = Some(summary.clone());
         self.runtime.publish(&Record {
             key: RecordKey::EndpointList,
-            value: RecordValue::EndpointList(listed),
+            value: RecordValue::EndpointList(summary),
         });
     }
 }
 
-/// How often a start checks whether replica holders are reachable.
-const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A record is waited for at most this part of the time that a start has left, so that no one record takes it all.
+/// Interval at which a starting gateway checks whether replica holders are reachable.
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The wait for a record is at most the remaining time divided by this, so that no single record uses it all.
 const RECORD_WAIT_DIVISOR: u32 = 2;
 
 impl Replication {
-    /// Reads a record from a quorum of its replica holders; from fewer where a quorum does not answer in its part of
-    /// the time until `by`.
-    async fn read_record(&self, kind: RecordKey, by: Instant) -> Option<Record> {
-        let by = now() + by.saturating_duration_since(now()) / RECORD_WAIT_DIVISOR;
+    /// Reads a record from a quorum of its replica holders. If no quorum answers in the record's part of the time until
+    /// `recovery_deadline`, returns what fewer holders have answered.
+    async fn read_record(&self, key: RecordKey, recovery_deadline: Instant) -> Option<Record> {
+        let record_deadline =
+            now() + recovery_deadline.saturating_duration_since(now()) / RECORD_WAIT_DIVISOR;
         loop {
-            let wait = by.saturating_duration_since(now());
-            let (record, exact) = self.look_up(kind, wait).await;
-            if exact || now() >= by {
+            let wait = record_deadline.saturating_duration_since(now());
+            let (record, has_quorum) = self.read_once(key, wait).await;
+            if has_quorum || now() >= record_deadline {
                 return record;
             }
-            // Holders that reject at once are not asked again at once.
-            sleep(READY_POLL_INTERVAL).await;
+            // Holders that reject immediately are not queried again without a pause.
+            sleep(HOLDER_POLL_INTERVAL).await;
         }
     }
 
-    /// Asks the replica holders for a record, and returns whether a quorum has answered.
-    async fn look_up(&self, kind: RecordKey, wait: Duration) -> (Option<Record>, bool) {
+    /// Queries the replica holders for a record once, and returns whether a quorum has answered.
+    async fn read_once(&self, key: RecordKey, wait: Duration) -> (Option<Record>, bool) {
         let (send, received) = oneshot::channel();
-        let then = Box::new(move |record, exact| {
-            // The start may have given up waiting.
-            let _ = send.send((record, exact));
+        let on_record = Box::new(move |record, has_quorum| {
+            // The receiver is gone if the recovery has timed out.
+            let _ = send.send((record, has_quorum));
         });
-        self.runtime.look_up(kind, duration_to_ticks(wait), then);
+        self.runtime
+            .look_up(key, duration_to_ticks(wait), on_record);
         received.await.unwrap_or((None, false))
     }
 
-    /// Recovers the drains and primaries that the replica holders know, within that time.
+    /// Recovers the drains and primaries that the replica holders know, and gives them to the engine; returns after
+    /// `timeout` at the latest.
     ///
-    /// `known` is the endpoint list that this start has, of `revision`.
+    /// `known_endpoints` is the endpoint list that this gateway starts with, and `revision` that list's revision.
     pub async fn recover(
         &self,
-        exchange: &Rc<Engine>,
-        known: &[EndpointEntry],
+        engine: &Rc<Engine>,
+        known_endpoints: &[EndpointEntry],
         revision: u64,
-        within: Duration,
+        timeout: Duration,
         log: &slog::Logger,
     ) {
-        let began = now();
-        let by = began + within;
-        while !self.runtime.is_ready() && now() < by {
-            sleep(READY_POLL_INTERVAL).await;
+        let started_at = now();
+        let recovery_deadline = started_at + timeout;
+        while !self.runtime.is_ready() && now() < recovery_deadline {
+            sleep(HOLDER_POLL_INTERVAL).await;
         }
         if !self.runtime.is_ready() {
-            slog::warn!(log, "no replica holders reachable at the start"; "ms" => since(began).as_millis() as u64);
+            slog::warn!(log, "no replica holders reachable at the start"; "ms" => since(started_at).as_millis() as u64);
             return;
         }
-        let recovered = timeout_at(by, async {
-            self.recover_drains(exchange, known, revision, by, log)
+        let recovered = timeout_at(recovery_deadline, async {
+            self.recover_drains(engine, known_endpoints, revision, recovery_deadline, log)
+                .await;
+            self.recover_primaries(engine, known_endpoints, recovery_deadline, log)
                 .await;
-            self.recover_primaries(exchange, known, by, log).await;
         });
         if recovered.await.is_err() {
-            // The rest is learned from discovery and the servers.
-            slog::warn!(log, "replica holders late at the start"; "ms" => since(began).as_millis() as u64);
+            // What is missing is learned from discovery and the servers.
+            slog::warn!(log, "replica holders late at the start"; "ms" => since(started_at).as_millis() as u64);
         }
     }
 
-    /// Marks the servers that were drained as draining.
+    /// Marks the servers that other members know to be drained as draining, unless this start's list is newer.
     async fn recover_drains(
         &self,
-        exchange: &Rc<Engine>,
-        known: &[EndpointEntry],
+        engine: &Rc<Engine>,
+        known_endpoints: &[EndpointEntry],
         revision: u64,
-        by: Instant,
+        recovery_deadline: Instant,
         log: &slog::Logger,
     ) {
         if let Some(Record {
-            value: RecordValue::EndpointList(listed),
+            value: RecordValue::EndpointList(summary),
             ..
-        }) = self.read_record(RecordKey::EndpointList, by).await
-            && listed.revision >= revision
+        }) = self
+            .read_record(RecordKey::EndpointList, recovery_deadline)
+            .await
+            && summary.revision >= revision
         {
-            let drained = |entry: &&EndpointEntry| listed.drained.binary_search(&entry.uid).is_ok();
-            let entries: Vec<EndpointEntry> = known
+            let is_drained =
+                |entry: &&EndpointEntry| summary.drained.binary_search(&entry.uid).is_ok();
+            let entries: Vec<EndpointEntry> = known_endpoints
                 .iter()
-                .filter(drained)
+                .filter(is_drained)
                 .map(|entry| EndpointEntry {
                     state: EndpointState::Draining,
                     ..entry.clone()
                 })
                 .collect();
-            slog::info!(log, "draining endpoints recovered"; "revision" => listed.revision, "many" => entries.len());
+            slog::info!(log, "draining endpoints recovered"; "revision" => summary.revision, "many" => entries.len());
             if !entries.is_empty() {
-                exchange.on_endpoint_list(EndpointUpdate::Changes, listed.revision, &entries);
+                engine.on_endpoint_list(EndpointUpdate::Changes, summary.revision, &entries);
             }
         }
     }
 
-    /// Tells the exchange the primaries of the listed replica sets.
+    /// Gives the engine the primaries of all replica sets of `known_endpoints`.
     async fn recover_primaries(
         &self,
-        exchange: &Rc<Engine>,
-        known: &[EndpointEntry],
-        by: Instant,
+        engine: &Rc<Engine>,
+        known_endpoints: &[EndpointEntry],
+        recovery_deadline: Instant,
         log: &slog::Logger,
     ) {
-        let mut sets: Vec<u16> = known.iter().map(|entry| entry.set).collect();
+        let mut sets: Vec<u16> = known_endpoints.iter().map(|entry| entry.set).collect();
         sets.sort_unstable();
         sets.dedup();
-        let mut roles = Vec::new();
+        let mut primaries = Vec::new();
         for set in sets {
             if let Some(Record {
                 value: RecordValue::Primary(role),
                 ..
-            }) = self.read_record(RecordKey::Primary(set), by).await
+            }) = self
+                .read_record(RecordKey::Primary(set), recovery_deadline)
+                .await
             {
-                roles.push((set, role.server.clone(), role.observed_at));
-                self.roles.borrow_mut().entry(set).or_insert(role);
+                primaries.push((set, role.server.clone(), role.observed_at));
+                self.primaries.borrow_mut().entry(set).or_insert(role);
             }
         }
-        slog::info!(log, "primary roles recovered"; "many" => roles.len());
-        exchange.on_primaries_reported(&roles);
+        slog::info!(log, "primary roles recovered"; "many" => primaries.len());
+        engine.on_primaries_reported(&primaries);
     }
 }
