--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -1,7 +1,7 @@
-//! `leverpoint check`: reads a configuration and prints what it comes to, or the faulty key.
+//! `leverpoint check`: reads a configuration and prints the settings derived from it, or the invalid key.
 //!
-//! The printed text is part of the operators' interface: it keeps the names with which it was first released, whatever
-//! the types are called.
+//! The printed text is part of the operators' interface: it keeps the names with which it was first released, even
+//! where types and fields have other names since.
 
 use std::fmt::Write as _;
 
@@ -19,21 +19,21 @@
 
 use crate::cli::{Output, operator_file_option, read_operator_file};
 
-/// The options of the subcommand.
+/// The options of `leverpoint check`.
 #[derive(Clone, Debug)]
 pub(super) enum Options {
-    /// Print the schema of the operator's file.
+    /// Prints the JSON schema of the operator's file.
     Schema,
-    /// Read these files.
+    /// Reads these files and prints the settings derived from them.
     Files {
-        /// The operator's file.
+        /// Path of the operator's file; `None` for the defaults.
         operator: Option<String>,
-        /// The configuration.
+        /// Path of the configuration, as `NODE_CONFIG` names it.
         file: String,
     },
 }
 
-/// Parses the options.
+/// Parses the options of `leverpoint check`.
 pub(super) fn options() -> OptionParser<Options> {
     let file = positional::<String>("FILE").help("A configuration as NODE_CONFIG names one");
     let operator = operator_file_option();
@@ -46,54 +46,59 @@
         .descr("Reads a configuration and prints what it comes to, or the faulty key")
 }
 
-/// The schema, or a description of the configuration.
+/// Returns the schema, or a description of the configuration.
+///
+/// # Errors
+///
+/// Names the key of the configuration or of the operator's file that is missing or invalid.
 pub(super) fn run(options: Options) -> Result<Output, ConfigError> {
     let text = match options {
         Options::Schema => format!("{:#}\n", operator::schema()),
         Options::Files { operator, file } => {
             let node = node::from_file(&file, |_, _| None)?;
-            description(&node, &read_operator_file(operator)?)?
+            describe(&node, &read_operator_file(operator)?)?
         }
     };
     Ok(Output::success(text))
 }
 
-/// Describes a configuration, a line for each part.
-fn description(node: &NodeConfig, operator: &OperatorConfig) -> Result<String, ConfigError> {
+/// Describes a configuration and the operator's file, a line for each part.
+fn describe(node: &NodeConfig, operator: &OperatorConfig) -> Result<String, ConfigError> {
     let mut out = String::new();
     // Writing to a string does not fail.
     let _ = describe_node(&mut out, node);
     let _ = writeln!(
         out,
         "{}",
-        backpressure_limits(&gateway::backpressure_limits(node, operator)?)
+        format_limits(&gateway::backpressure_limits(node, operator)?)
     );
-    if let Some(m) = membership::membership_settings(node, operator)? {
+    if let Some(settings) = membership::membership_settings(node, operator)? {
         let _ = writeln!(
             out,
             "member of {} at {}, zone {}, machine {}",
-            m.fleet, m.address, m.zone, m.machine
+            settings.fleet, settings.address, settings.zone, settings.machine
         );
         let _ = writeln!(
             out,
             "{}, {} connections",
-            membership_config(&m.config),
-            m.max_connections
+            format_membership_config(&settings.config),
+            settings.max_connections
         );
     }
-    if let Some(copying) = gateway::replication_settings(node, operator)? {
-        let _ = writeln!(out, "{copying:?}");
+    if let Some(replication) = gateway::replication_settings(node, operator)? {
+        let _ = writeln!(out, "{replication:?}");
     }
     Ok(out)
 }
 
+/// Describes what the configuration alone determines.
 fn describe_node(out: &mut String, node: &NodeConfig) -> std::fmt::Result {
-    let facts = &node.settings.routing;
+    let routing = &node.settings.routing;
     writeln!(out, "name {}, listens on {}", node.name, node.listen)?;
     writeln!(
         out,
         "discovery {}, gateway {} of {}",
-        node.discovery, facts.gateway_index, facts.gateways
+        node.discovery, routing.gateway_index, routing.gateways
     )?;
     let limits = &node.limits;
     writeln!(
@@ -102,21 +107,21 @@
         limits.memory_bytes >> 20,
         limits.sockets
     )?;
-    for (name, class) in node.settings.classes.iter().zip(&facts.classes) {
-        writeln!(out, "command group {name}: {}", request_class(class))?;
+    for (name, class) in node.settings.classes.iter().zip(&routing.classes) {
+        writeln!(out, "command group {name}: {}", format_request_class(class))?;
     }
     writeln!(out, "customers {}", node.settings.tenants.join(", "))?;
     writeln!(out, "zones {}", node.settings.zones.join(", "))?;
-    writeln!(out, "{}", endpoint_list(&facts.endpoint_list))?;
-    writeln!(out, "{}", permissions(&facts.permissions))?;
-    writeln!(out, "{}", server_protection(&facts.protection))
+    writeln!(out, "{}", format_endpoint_list(&routing.endpoint_list))?;
+    writeln!(out, "{}", format_permissions(&routing.permissions))?;
+    writeln!(out, "{}", format_server_protection(&routing.protection))
 }
 
-fn request_class(class: &RequestClass) -> String {
+fn format_request_class(class: &RequestClass) -> String {
     format!(
         "GroupFacts {{ need: {}, effect: {}, target: {}, timeout: {}, benefit: {:?}, late: {:?} }}",
-        consistency(class.consistency),
-        idempotency(class.idempotency),
+        format_consistency(class.consistency),
+        format_idempotency(class.idempotency),
         class.latency_objective,
         class.timeout,
         class.priority_weight,
@@ -124,7 +129,7 @@
     )
 }
 
-fn consistency(consistency: Consistency) -> String {
+fn format_consistency(consistency: Consistency) -> String {
     match consistency {
         Consistency::Any => "Any".to_owned(),
         Consistency::Bounded(staleness) => format!("Bounded({staleness})"),
@@ -134,7 +139,7 @@
     }
 }
 
-fn idempotency(idempotency: Idempotency) -> String {
+fn format_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Replayable".to_owned(),
         Idempotency::IdempotentByKey { window, scope } => {
@@ -149,14 +154,14 @@
     }
 }
 
-fn endpoint_list(config: &EndpointListConfig) -> String {
+fn format_endpoint_list(config: &EndpointListConfig) -> String {
     format!(
         "ListKeeping {{ pushed: {}, names_primary: {}, ask_every: {} }}",
         config.pushed, config.names_primary, config.poll_interval
     )
 }
 
-fn permissions(permissions: &Permissions) -> String {
+fn format_permissions(permissions: &Permissions) -> String {
     format!(
         "Allowed {{ dispatches: {}, second_copies: {}, cancel: {}, probes: {}, peers: {}, \
          come_back: {}, longest_come_back: {} }}",
@@ -170,7 +175,7 @@
     )
 }
 
-fn server_protection(protection: &ServerProtection) -> String {
+fn format_server_protection(protection: &ServerProtection) -> String {
     format!(
         "Guard {{ drain_grace: {}, only_draining_bars: {}, cold_share: {:?}, cold_time: {}, \
          fall_multiple: {:?}, fall_time: {} }}",
@@ -183,7 +188,7 @@
     )
 }
 
-fn backpressure_limits(limits: &Limits) -> String {
+fn format_limits(limits: &Limits) -> String {
     format!(
         "Caps {{ least_rate: {}, grace: {}, stall: {}, small: {}, proof: {}, one_peer: {}, customer: {}, slow: {}, \
          newcomers: {}, all: {}, connections: {}, arrivals: {}, come_back: {}, after_row: {}, kernel: {}, on: {} }}",
@@ -206,7 +211,7 @@
     )
 }
 
-fn membership_config(config: &MembershipConfig) -> String {
+fn format_membership_config(config: &MembershipConfig) -> String {
     format!(
         "Terms {{ beat: {}, answer: {}, asks: {}, patience: {}, spread: {}, most: {}, keeps: {}, settles: {} }}",
         config.probe_interval,
--- a/crates/gateway/src/cli/copies.rs
+++ b/crates/gateway/src/cli/copies.rs
@@ -1,5 +1,5 @@
-//! `leverpoint copies` and `leverpoint copies verify`: shows what a running member holds for others, and compares it with
-//! the other replica holders.
+//! `leverpoint copies` and `leverpoint copies verify`: shows the replicated records that a running member holds, and
+//! compares them with the other replica holders.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -9,9 +9,9 @@
 use leverpoint_replication::{QueueSizes, ReplicationStatus, Ticks};
 
 use crate::cli::Output;
-use crate::cli::members::{MemberAddress, ask_member, columns, member_address};
+use crate::cli::members::{MemberAddress, ask_member, format_table, member_address};
 
-/// The options of the subcommand.
+/// The options of `leverpoint copies`.
 #[derive(Clone, Debug)]
 pub(super) struct Options {
     json: bool,
@@ -19,66 +19,72 @@
     verify: bool,
 }
 
-/// Parses the options.
+/// Parses the options of `leverpoint copies` and of its subcommand `verify`.
 pub(super) fn options() -> OptionParser<Options> {
-    let json = || long("json").help("One object of JSON").switch();
+    let json = || long("json").help("Prints one JSON object").switch();
     let verify = {
         let (json, member) = (json(), member_address());
-        let all = construct!(json, member).map(|(json, member)| Options {
+        let comparison = construct!(json, member).map(|(json, member)| Options {
             json,
             member,
             verify: true,
         });
-        all.to_options()
-            .descr("Compares what it holds with all other holders, and says what differed")
+        comparison
+            .to_options()
+            .descr("Compares the records with all other holders, and shows the differences")
             .command("verify")
     };
     let (json, member) = (json(), member_address());
-    let shown = construct!(json, member).map(|(json, member)| Options {
+    let show = construct!(json, member).map(|(json, member)| Options {
         json,
         member,
         verify: false,
     });
-    construct!([verify, shown])
+    construct!([verify, show])
         .to_options()
-        .descr("Shows what a running member holds for others, owes and mends")
+        .descr("Shows the replicated records and the state of replication of a running member")
 }
 
-/// How long `verify` waits for the comparison; a million records take half a minute.
+/// How long `verify` waits for the comparison; comparing a million records takes half a minute.
 const VERIFY_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause between two questions for the result of the comparison.
+/// Interval at which `verify` polls for the result of the comparison.
 const VERIFY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks the member and formats its answer; a comparison that has found differences is no success.
+/// Queries the member and formats its response; the exit status is 1 if a comparison has found differences.
+///
+/// # Errors
+///
+/// Returns a line of text: the member cannot be queried, or it refuses the request.
 pub(super) fn run(options: &Options) -> Result<Output, String> {
     if options.verify {
         return verify(options);
     }
     match ask_member(&options.member, AdminRequest::Replication)? {
-        AdminResponse::Replication(look) if options.json => Ok(Output::success(json(&look)?)),
-        AdminResponse::Replication(look) => Ok(Output::success(table(&look))),
-        AdminResponse::Refused { reason: why } => Err(why),
-        _ => Err("it answers something else".to_owned()),
+        AdminResponse::Replication(state) if options.json => Ok(Output::success(to_json(&state)?)),
+        AdminResponse::Replication(state) => Ok(Output::success(to_table(&state))),
+        AdminResponse::Refused { reason: refusal } => Err(refusal),
+        _ => Err("unexpected response from the member".to_owned()),
     }
 }
 
-fn json(look: &ReplicationStatus) -> Result<String, String> {
-    serde_json::to_string(look)
+/// Formats the state of replication as one JSON object.
+fn to_json(status: &ReplicationStatus) -> Result<String, String> {
+    serde_json::to_string(status)
         .map(|line| line + "\n")
         .map_err(|e| e.to_string())
 }
 
-/// Formats Unix time as seconds.
-fn unix_seconds(at: Ticks) -> String {
-    if at == 0 {
+/// Formats Unix time in ticks as seconds; `-` for 0, which stands for no time.
+fn unix_seconds(unix_ticks: Ticks) -> String {
+    if unix_ticks == 0 {
         "-".to_owned()
     } else {
-        format!("{}.{:04}", at / 10_000, at % 10_000)
+        format!("{}.{:04}", unix_ticks / 10_000, unix_ticks % 10_000)
     }
 }
 
-/// A row of the table: the name of a figure, its value and what it means.
+/// A row of the table: the name of a value, the value and what it means.
 type Row = [String; 3];
 
 fn row(name: &str, value: String, meaning: &str) -> Row {
@@ -89,64 +95,74 @@
     if yes { "yes" } else { "no" }
 }
 
-fn table(look: &ReplicationStatus) -> String {
-    let mut rows = layout_rows(look);
-    rows.extend(record_rows(look));
-    rows.extend(work_rows(look));
-    rows.extend(outcome_rows(look));
-    columns(&rows)
+/// Formats the state of replication as a table.
+fn to_table(status: &ReplicationStatus) -> String {
+    let mut rows = layout_rows(status);
+    rows.extend(record_rows(status));
+    rows.extend(work_rows(status));
+    rows.extend(outcome_rows(status));
+    format_table(&rows)
 }
 
-fn layout_rows(look: &ReplicationStatus) -> Vec<Row> {
-    let layouts = format!("{} to {}", look.oldest_layout_version, look.layout_version);
-    let known = format!(
+/// Rows on the layouts in force and this member's part in them.
+fn layout_rows(status: &ReplicationStatus) -> Vec<Row> {
+    let versions = format!(
+        "{} to {}",
+        status.oldest_layout_version, status.layout_version
+    );
+    let layout_state = format!(
         "{}, {}",
-        yes_or_no(look.layouts_known),
-        yes_or_no(look.has_layout_quorum)
+        yes_or_no(status.layouts_known),
+        yes_or_no(status.has_layout_quorum)
     );
-    let holds = format!(
+    let replica_state = format!(
         "{}, {}",
-        yes_or_no(look.is_replica),
-        yes_or_no(look.in_sync)
+        yes_or_no(status.is_replica),
+        yes_or_no(status.in_sync)
     );
     vec![
         row(
             "layouts that count",
-            layouts,
+            versions,
             "more than one: a hand-over is under way",
         ),
-        row("known, in touch", known, "else nothing is promised here"),
-        row("holds, whole", holds, "has all of its part"),
+        row(
+            "known, in touch",
+            layout_state,
+            "else nothing is promised here",
+        ),
+        row("holds, whole", replica_state, "has all of its part"),
     ]
 }
 
-fn record_rows(look: &ReplicationStatus) -> Vec<Row> {
-    let at_risk = !look.in_sync || look.oldest_layout_version < look.layout_version;
+/// Rows on the records held and on what may be missing.
+fn record_rows(status: &ReplicationStatus) -> Vec<Row> {
+    let at_risk = !status.in_sync || status.oldest_layout_version < status.layout_version;
     vec![
         row(
             "held: positions",
-            look.session_records.to_string(),
+            status.session_records.to_string(),
             "sessions",
         ),
         row(
             "held: keys",
-            look.keyed_requests.to_string(),
+            status.keyed_requests.to_string(),
             "keyed commands",
         ),
         row(
             "held: others",
-            look.other_records.to_string(),
+            status.other_records.to_string(),
             "roles, the list",
         ),
-        row("held: bytes", look.record_bytes.to_string(), ""),
+        row("held: bytes", status.record_bytes.to_string(), ""),
         row(
             "floor",
-            unix_seconds(look.low_watermark),
+            unix_seconds(status.low_watermark),
             "Unix seconds: what lies before it may be folded away or lost",
         ),
         row(
             "lost until",
-            unix_seconds(look.data_lost_until),
+            unix_seconds(status.data_lost_until),
             "Unix seconds: more was lost than may be",
         ),
         row(
@@ -157,111 +173,138 @@
     ]
 }
 
-fn work_rows(look: &ReplicationStatus) -> Vec<Row> {
+/// Rows on the queues.
+fn work_rows(status: &ReplicationStatus) -> Vec<Row> {
     let QueueSizes {
-        pending: waiting,
-        open_writes: open,
-        hinted: parked,
+        pending: pending_count,
+        open_writes: open_count,
+        hinted: hint_count,
         queued,
-    } = look.queue_sizes;
+    } = status.queue_sizes;
     vec![
         row(
             "owed: waiting",
-            waiting.to_string(),
+            pending_count.to_string(),
             "writes and reads that wait for holders",
         ),
         row(
             "owed: open",
-            open.to_string(),
+            open_count.to_string(),
             "writes let go and not ended",
         ),
         row(
             "owed: in line, parked",
-            format!("{queued}, {parked}"),
+            format!("{queued}, {hint_count}"),
             "records for holders, for those that are away",
         ),
     ]
 }
 
-fn outcome_rows(look: &ReplicationStatus) -> Vec<Row> {
-    let c = &look.counters;
-    let repair = look.last_repair;
-    let repair = repair.map_or("-".into(), |t| format!("{:.1}s", t as f64 / 1e4));
-    let unseen = if look.unaccounted_members.is_empty() {
+/// Rows on the outcomes of requests and repairs since the start.
+fn outcome_rows(status: &ReplicationStatus) -> Vec<Row> {
+    let counters = &status.counters;
+    let repair = status.last_repair;
+    let repair = repair.map_or("-".into(), |ticks| format!("{:.1}s", ticks as f64 / 1e4));
+    let unaccounted = if status.unaccounted_members.is_empty() {
         "-".into()
     } else {
-        look.unaccounted_members.join(" ")
+        status.unaccounted_members.join(" ")
     };
-    let promises = format!("{}, {}", c.quorum_writes, c.writes_without_quorum);
-    let turned = format!("{}, {}", c.rejected_writes, c.unclear_retries);
-    let reads = format!("{}, {}", c.exact_reads, c.inexact_reads);
+    let writes = format!(
+        "{}, {}",
+        counters.quorum_writes, counters.writes_without_quorum
+    );
+    let rejections = format!("{}, {}", counters.rejected_writes, counters.unclear_retries);
+    let reads = format!("{}, {}", counters.exact_reads, counters.inexact_reads);
     vec![
-        row("promises, without", promises, ""),
-        row("turned, unclear", turned, "throttled unsent; ended at once"),
+        row("promises, without", writes, ""),
+        row(
+            "turned, unclear",
+            rejections,
+            "throttled unsent; ended at once",
+        ),
         row("reads exact, instant", reads, ""),
         row(
             "mended, last took",
-            format!("{}, {repair}", c.records_repaired),
+            format!("{}, {repair}", counters.records_repaired),
             "records",
         ),
-        row("not accounted for", unseen, "may answer without promises"),
+        row(
+            "not accounted for",
+            unaccounted,
+            "may answer without promises",
+        ),
     ]
 }
 
-/// Has the member compare what it holds with all other holders, and polls until it has done so.
+/// Has the member compare its records with all other holders, and polls until it has done so or [`VERIFY_TIMEOUT`]
+/// ends.
 fn verify(options: &Options) -> Result<Output, String> {
-    let began = Instant::now();
-    let mut anew = true;
+    let started = Instant::now();
+    let mut start_over = true;
     loop {
-        let answer = ask_member(&options.member, AdminRequest::AntiEntropy { restart: anew })?;
-        anew = false;
-        match answer {
+        let response = ask_member(
+            &options.member,
+            AdminRequest::AntiEntropy {
+                restart: start_over,
+            },
+        )?;
+        start_over = false;
+        match response {
             AdminResponse::AntiEntropy {
-                peers: all,
-                remaining: left,
-            } if left == 0 || began.elapsed() > VERIFY_TIMEOUT => {
-                let success = left == 0 && all.iter().all(|(_, _, differ, _)| *differ == 0);
+                peers: comparisons,
+                remaining: uncompared,
+            } if uncompared == 0 || started.elapsed() > VERIFY_TIMEOUT => {
+                let success = uncompared == 0
+                    && comparisons
+                        .iter()
+                        .all(|(_, _, differing, _)| *differing == 0);
                 let text = if options.json {
-                    comparison_json(&all, left)
+                    comparison_json(&comparisons, uncompared)
                 } else {
-                    comparison_table(&all, left)
+                    comparison_table(&comparisons, uncompared)
                 };
                 return Ok(Output { text, success });
             }
             AdminResponse::AntiEntropy { .. } => sleep(VERIFY_POLL_INTERVAL),
-            AdminResponse::Refused { reason: why } => return Err(why),
-            _ => return Err("it answers something else".to_owned()),
+            AdminResponse::Refused { reason: refusal } => return Err(refusal),
+            _ => return Err("unexpected response from the member".to_owned()),
         }
     }
 }
 
-/// Name of a holder, the time since the comparison, buckets that differed, records new to the member that was asked.
+/// Name of a holder, the time since the comparison, buckets that differed, records that the queried member received.
 type Comparison = (String, Ticks, u64, u64);
 
-fn comparison_json(all: &[Comparison], left: u64) -> String {
-    let rows: Vec<_> = all
+/// Formats the comparisons as one JSON object.
+fn comparison_json(comparisons: &[Comparison], uncompared: u64) -> String {
+    let rows: Vec<_> = comparisons
         .iter()
-        .map(|(name, ago, differ, brought)| {
-            serde_json::json!({"name": name, "ago_ms": ago / 10, "differ": differ, "brought": brought})
+        .map(|(name, age, differing, received)| {
+            serde_json::json!({"name": name, "ago_ms": age / 10, "differ": differing, "brought": received})
         })
         .collect();
-    format!("{}\n", serde_json::json!({"compared": rows, "left": left}))
+    format!(
+        "{}\n",
+        serde_json::json!({"compared": rows, "left": uncompared})
+    )
 }
 
-fn comparison_table(all: &[Comparison], left: u64) -> String {
-    let head = ["holder", "ago", "buckets that differed", "records new here"];
-    let mut rows = vec![head.map(String::from)];
-    rows.extend(all.iter().map(|(name, ago, differ, brought)| {
+/// Formats the comparisons as a table, and how many holders are still to be compared with.
+fn comparison_table(comparisons: &[Comparison], uncompared: u64) -> String {
+    let header = ["holder", "ago", "buckets that differed", "records new here"];
+    let mut rows = vec![header.map(String::from)];
+    rows.extend(comparisons.iter().map(|(name, age, differing, received)| {
         [
             name.clone(),
-            format!("{:.1}s", *ago as f64 / 1e4),
-            differ.to_string(),
-            brought.to_string(),
+            format!("{:.1}s", *age as f64 / 1e4),
+            differing.to_string(),
+            received.to_string(),
         ]
     }));
-    let mut out = columns(&rows);
-    if left > 0 {
-        out += &format!("{left} holders could not be compared with in time\n");
+    let mut out = format_table(&rows);
+    if uncompared > 0 {
+        out += &format!("{uncompared} holders could not be compared with in time\n");
     }
     out
 }
--- a/crates/gateway/src/cli/log_format.rs
+++ b/crates/gateway/src/cli/log_format.rs
@@ -1,4 +1,4 @@
-//! The formats of log lines on standard error: text and JSON.
+//! The formats of log lines on standard error: text as `name=value` fields, or one JSON object a line.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -8,7 +8,7 @@
 
 /// Writes each record as one line of `name=value` fields to standard error.
 ///
-/// A line is one write, so no lock is needed.
+/// Each line is one write, so no lock is needed to keep lines whole.
 pub(super) struct TextFormat;
 
 impl Drain for TextFormat {
@@ -29,13 +29,13 @@
         let _ = values.serialize(record, &mut line);
         let _ = record.kv().serialize(record, &mut line);
         line.0.push('\n');
-        // There is nowhere to report that standard error is gone.
+        // A failure is ignored: there is nowhere left to report that standard error is closed.
         let _ = std::io::stderr().write_all(line.0.as_bytes());
         Ok(())
     }
 }
 
-/// Writes each record as one line of JSON to standard error, in one write.
+/// Writes each record as one JSON object on a line to standard error, in one write.
 pub(super) struct JsonFormat;
 
 impl Drain for JsonFormat {
@@ -47,13 +47,13 @@
         let drain = slog_json::Json::new(&mut line).add_default_keys().build();
         let _ = drain.log(record, values);
         drop(drain);
-        // There is nowhere to report that standard error is gone.
+        // A failure is ignored: there is nowhere left to report that standard error is closed.
         let _ = std::io::stderr().write_all(&line);
         Ok(())
     }
 }
 
-/// Serializes fields as ` name="value"` behind what the line already holds.
+/// Appends each serialized field to the line as ` name="value"`.
 struct TextLine(String);
 
 impl slog::Serializer for TextLine {
--- a/crates/gateway/src/cli/members.rs
+++ b/crates/gateway/src/cli/members.rs
@@ -1,4 +1,4 @@
-//! `leverpoint members`: asks a running gateway for the members it knows, or to remove one from the layout.
+//! `leverpoint members`: queries a running gateway for the members it knows, or has it change the layout.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use crate::cli::Output;
 
-/// The options of the subcommand.
+/// The options of `leverpoint members`.
 #[derive(Clone, Debug)]
 pub(super) struct Options {
     member: MemberAddress,
@@ -21,21 +21,23 @@
     change: Option<LayoutRequest>,
 }
 
-/// A change of the layout that an operator asks for.
+/// A change of the layout that an operator requests.
 #[derive(Clone, Debug)]
 enum LayoutRequest {
+    /// Removes the replica holder of this name.
     Remove(String),
+    /// Creates the first layout of a new fleet.
     Bootstrap,
 }
 
-/// Parses the options.
+/// Parses the options of `leverpoint members`.
 pub(super) fn options() -> OptionParser<Options> {
     let member = member_address();
-    let json = long("json").help("One object of JSON").switch();
-    let remove = long("remove").help("Has a holder that does not come back leave the layout");
+    let json = long("json").help("Prints one JSON object").switch();
+    let remove = long("remove").help("Removes a holder that will not come back from the layout");
     let remove = remove.argument::<String>("NAME").map(LayoutRequest::Remove);
     let bootstrap = long("bootstrap")
-        .help("Has the founders of a new fleet agree on a layout")
+        .help("Has the founders of a new fleet agree on the first layout")
         .req_flag(LayoutRequest::Bootstrap);
     let change = construct!([remove, bootstrap]).optional();
     let all = construct!(Options {
@@ -44,130 +46,152 @@
         member
     });
     all.to_options()
-        .descr("Shows who of the fleet a running gateway sees, and the layout agreed on")
+        .descr("Shows the members that a running gateway knows, and the current layout")
 }
 
-/// The running member to ask.
+/// Where to reach the running member that is queried.
 #[derive(Clone, Debug)]
 pub(super) struct MemberAddress {
+    /// Path of the operator's file, which has the fleet's name and keys.
     pub operator: String,
-    pub at: Option<SocketAddr>,
+    /// The member's address; `None` for `members.listen` of the operator's file.
+    pub address: Option<SocketAddr>,
 }
 
-/// Parses the options that name the member.
+/// Parses the options `--operator` and `--at`, which name the member to query.
 pub(super) fn member_address() -> impl Parser<MemberAddress> {
     let operator =
-        long("operator").help("The operator's file, for the fleet, its keys and the address");
+        long("operator").help("Path of the operator's file: fleet name, keys and address");
     let operator = operator.argument::<String>("FILE");
-    let at = long("at").help("The link's address; else the file's members.listen");
-    let at = at.argument::<SocketAddr>("ADDRESS").optional();
-    construct!(MemberAddress { operator, at })
+    let address = long("at").help("Address of the member; default: members.listen of the file");
+    let address = address.argument::<SocketAddr>("ADDRESS").optional();
+    construct!(MemberAddress { operator, address })
 }
 
-/// Asks a running member and returns its answer.
+/// Sends a request to a running member and returns the response.
+///
+/// # Errors
+///
+/// Returns a line of text: the operator's file is invalid or has no `members.listen`, or the member does not respond.
 pub(super) fn ask_member(
     member: &MemberAddress,
-    question: AdminRequest,
+    request: AdminRequest,
 ) -> Result<AdminResponse, String> {
-    let file = operator::from_file(&member.operator).map_err(|fault| fault.to_string())?;
-    let membership = file
+    let operator_config =
+        operator::from_file(&member.operator).map_err(|error| error.to_string())?;
+    let membership = operator_config
         .membership("operator", "", 1 << 16)
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     let membership = membership
         .ok_or_else(|| format!("{}: members.listen: expected an address", member.operator))?;
-    let at = member.at.unwrap_or(membership.listen);
+    let address = member.address.unwrap_or(membership.listen);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|e| e.to_string())?;
-    let asking = admin_client::send_admin_request(
-        at,
+    let response = admin_client::send_admin_request(
+        address,
         fleet_identity(&membership),
-        question,
+        request,
         random_numbers(),
     );
-    LocalSet::new().block_on(&runtime, asking)
+    LocalSet::new().block_on(&runtime, response)
 }
 
-/// Asks the member and formats its answer.
+/// Sends the request that the options describe and formats the response.
+///
+/// # Errors
+///
+/// Returns a line of text: the member cannot be queried, or it refuses the request.
 pub(super) fn run(options: &Options) -> Result<Output, String> {
-    let question = match &options.change {
+    let request = match &options.change {
         Some(LayoutRequest::Remove(name)) => AdminRequest::Remove { name: name.clone() },
         Some(LayoutRequest::Bootstrap) => AdminRequest::Bootstrap,
         None => AdminRequest::Members,
     };
-    match ask_member(&options.member, question)? {
+    match ask_member(&options.member, request)? {
         AdminResponse::Members {
-            status: stand,
+            status: member_status,
             layout_version: version,
             holders,
-            members: lines,
+            members: summaries,
         } => {
             let text = if options.json {
-                json(&stand, version, holders, &lines)?
+                members_json(&member_status, version, holders, &summaries)?
             } else {
-                table(&stand, version, holders, &lines)
+                members_table(&member_status, version, holders, &summaries)
             };
             Ok(Output::success(text))
         }
         AdminResponse::Done => Ok(Output::success("asked for\n".to_owned())),
-        AdminResponse::Refused { reason: why } => Err(why),
-        _ => Err("it answers something else".to_owned()),
+        AdminResponse::Refused { reason: refusal } => Err(refusal),
+        _ => Err("unexpected response from the member".to_owned()),
     }
 }
 
-/// A member as it is printed in JSON.
+/// A member as `members --json` prints it; the names in the output are part of the operators' interface.
 #[derive(Serialize)]
 struct MemberJson<'a> {
     name: &'a str,
     zone: &'a str,
     machine: &'a str,
     address: &'a str,
-    life: u64,
-    memory: String,
-    seen: &'a str,
-    since_ms: Ticks,
-    heard_ms: Option<Ticks>,
-    holds: bool,
-    program: &'a str,
-    me: bool,
+    #[serde(rename = "life")]
+    incarnation_number: u64,
+    /// In hexadecimal.
+    #[serde(rename = "memory")]
+    storage_id: String,
+    #[serde(rename = "seen")]
+    status: &'a str,
+    #[serde(rename = "since_ms")]
+    status_age_ms: Ticks,
+    #[serde(rename = "heard_ms")]
+    silent_for_ms: Option<Ticks>,
+    #[serde(rename = "holds")]
+    in_layout: bool,
+    #[serde(rename = "program")]
+    program_version: &'a str,
+    #[serde(rename = "me")]
+    is_self: bool,
 }
 
-fn json(
-    stand: &str,
+/// Formats the response as one JSON object.
+fn members_json(
+    status: &str,
     version: u64,
     holders: u32,
-    lines: &[MemberSummary],
+    summaries: &[MemberSummary],
 ) -> Result<String, String> {
-    let one = |line: &'_ MemberSummary| {
-        let card = &line.info;
+    let member_json = |summary: &'_ MemberSummary| {
+        let info = &summary.info;
         serde_json::to_value(MemberJson {
-            name: &card.name,
-            zone: &card.zone,
-            machine: &card.machine,
-            address: &card.address,
-            life: card.incarnation.number,
-            memory: format!("{:016x}", card.incarnation.storage_id),
-            seen: status_name(line.status),
-            since_ms: line.status_age / 10,
-            heard_ms: line.silent_for.map(|ago| ago / 10),
-            holds: line.in_layout,
-            program: &card.program_version,
-            me: line.is_self,
+            name: &info.name,
+            zone: &info.zone,
+            machine: &info.machine,
+            address: &info.address,
+            incarnation_number: info.incarnation.number,
+            storage_id: format!("{:016x}", info.incarnation.storage_id),
+            status: status_name(summary.status),
+            status_age_ms: summary.status_age / 10,
+            silent_for_ms: summary.silent_for.map(|ticks| ticks / 10),
+            in_layout: summary.in_layout,
+            program_version: &info.program_version,
+            is_self: summary.is_self,
         })
     };
-    let members = lines
+    let members = summaries
         .iter()
-        .map(one)
+        .map(member_json)
         .collect::<Result<Vec<_>, _>>()
         .map_err(|e| e.to_string())?;
     let all = serde_json::json!({
-        "stand": stand, "layout": version, "holders": holders, "members": members,
+        "stand": status, "layout": version, "holders": holders, "members": members,
     });
     Ok(format!("{all}\n"))
 }
 
-fn table(stand: &str, version: u64, holders: u32, lines: &[MemberSummary]) -> String {
+/// Formats the response as a heading and a table; the member that was queried is marked with `*`.
+fn members_table(status: &str, version: u64, holders: u32, summaries: &[MemberSummary]) -> String {
     let seconds = |ticks: Ticks| format!("{:.1}s", ticks as f64 / 1e4);
     let mut rows = vec![
         [
@@ -176,37 +200,37 @@
         ]
         .map(String::from),
     ];
-    rows.extend(lines.iter().map(|line| {
-        let card = &line.info;
+    rows.extend(summaries.iter().map(|summary| {
+        let info = &summary.info;
         [
-            if line.is_self {
-                format!("{}*", card.name)
+            if summary.is_self {
+                format!("{}*", info.name)
             } else {
-                card.name.clone()
+                info.name.clone()
             },
-            card.zone.clone(),
-            card.machine.clone(),
-            card.incarnation.number.to_string(),
-            status_name(line.status).to_owned(),
-            if line.is_self {
+            info.zone.clone(),
+            info.machine.clone(),
+            info.incarnation.number.to_string(),
+            status_name(summary.status).to_owned(),
+            if summary.is_self {
                 "-".to_owned()
             } else {
-                seconds(line.status_age)
+                seconds(summary.status_age)
             },
-            line.silent_for.map_or("-".to_owned(), seconds),
-            if line.in_layout { "yes" } else { "no" }.to_owned(),
-            card.program_version.clone(),
-            card.address.clone(),
+            summary.silent_for.map_or("-".to_owned(), seconds),
+            if summary.in_layout { "yes" } else { "no" }.to_owned(),
+            info.program_version.clone(),
+            info.address.clone(),
         ]
     }));
     let mut out =
-        format!("stand {stand}, layout {version} with {holders} holders; * is who was asked\n");
-    out += &columns(&rows);
+        format!("stand {status}, layout {version} with {holders} holders; * is who was asked\n");
+    out += &format_table(&rows);
     out
 }
 
-/// Formats rows as a table whose columns are as wide as their widest cell.
-pub(super) fn columns<const N: usize>(rows: &[[String; N]]) -> String {
+/// Formats rows as a table whose columns are as wide as their widest cell, without trailing spaces.
+pub(super) fn format_table<const N: usize>(rows: &[[String; N]]) -> String {
     let widths: Vec<usize> = (0..N)
         .map(|n| rows.iter().map(|row| row[n].len()).max().unwrap_or(0))
         .collect();
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module a subcommand, and the formats of the log.
+//! The command line: one module per subcommand, and the log formats.
 
 mod check;
 mod copies;
@@ -13,14 +13,14 @@
 use leverpoint_config::ConfigError;
 use leverpoint_config::operator::{self, OperatorConfig};
 
-/// What a subcommand prints on standard output and how it exits.
+/// The text that a subcommand prints on standard output, and whether it exits with status 0 or 1.
 struct Output {
     text: String,
     success: bool,
 }
 
 impl Output {
-    /// The output of a subcommand that has succeeded.
+    /// Output with exit status 0.
     fn success(text: String) -> Self {
         Output {
             text,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A subcommand with its options.
+/// A parsed subcommand with its options.
 #[derive(Clone, Debug)]
 enum Command {
     Serve(serve::Options),
@@ -39,12 +39,14 @@
     Copies(copies::Options),
 }
 
-/// Runs the subcommand that the program's arguments name.
+/// Runs the subcommand that the program's arguments name, and returns the exit status.
+///
+/// An error is printed on standard error, on one line with the prefix `leverpoint: `.
 pub(crate) fn run() -> ExitCode {
     let result = match command_line().run() {
         Command::Serve(options) => serve::run(options),
         Command::Version => Ok(version::run()),
-        Command::Check(options) => check::run(options).map_err(|fault| fault.to_string()),
+        Command::Check(options) => check::run(options).map_err(|error| error.to_string()),
         Command::Members(options) => members::run(&options),
         Command::Copies(options) => copies::run(&options),
     };
@@ -64,6 +66,7 @@
     }
 }
 
+/// The parser of all subcommands.
 fn command_line() -> OptionParser<Command> {
     let serve = serve::options().command("serve").map(Command::Serve);
     let members = members::options().command("members").map(Command::Members);
@@ -76,15 +79,15 @@
         .descr("A read and write splitter for database clusters")
 }
 
-/// The option that names the operator's file.
+/// Parses the option `--operator`, the path of the operator's file.
 fn operator_file_option() -> impl Parser<Option<String>> {
     long("operator")
-        .help("The operator's own file, in HCL")
+        .help("Path of the operator's file, in HCL")
         .argument::<String>("FILE")
         .optional()
 }
 
-/// Reads the operator's file, or the defaults where none is named.
+/// Reads the operator's file, or returns the defaults if none is given.
 fn read_operator_file(file: Option<String>) -> Result<OperatorConfig, ConfigError> {
     file.map_or(Ok(OperatorConfig::default()), |file| {
         operator::from_file(&file)
--- a/crates/gateway/src/cli/serve.rs
+++ b/crates/gateway/src/cli/serve.rs
@@ -11,18 +11,18 @@
 use crate::cli::{Output, operator_file_option, read_operator_file};
 use crate::daemon;
 
-/// The options of the subcommand.
+/// The options of `leverpoint serve`.
 #[derive(Clone, Debug)]
 pub(super) struct Options {
     operator: Option<String>,
     json: bool,
 }
 
-/// Parses the options.
+/// Parses the options of `leverpoint serve`.
 pub(super) fn options() -> OptionParser<Options> {
     let operator = operator_file_option();
     let format = long("log")
-        .help("How log lines are written: text (default) or json")
+        .help("Format of log lines: text (default) or json")
         .argument::<String>("HOW");
     let is_known = |format: &String| ["text", "json"].contains(&format.as_str());
     let format = format
@@ -31,10 +31,10 @@
     let json = format.map(|format| format == "json");
     construct!(Options { operator, json })
         .to_options()
-        .descr("Serves, as NODE_CONFIG and the other NODE_ variables say")
+        .descr("Runs the gateway, configured by NODE_CONFIG and the other NODE_ variables")
 }
 
-/// Serves until the process is told to end.
+/// Serves until SIGTERM. The output is empty; the log goes to standard error.
 pub(super) fn run(options: Options) -> Result<Output, String> {
     let log = if options.json {
         Logger::root(JsonFormat.fuse(), o!())
@@ -45,7 +45,7 @@
     Ok(Output::success(String::new()))
 }
 
-/// Reads the configuration and checks what is derived from it.
+/// Reads the configuration and the operator's file, and checks the settings derived from both before anything starts.
 fn read_configuration(
     operator: Option<String>,
 ) -> Result<(NodeConfig, OperatorConfig), ConfigError> {
--- a/crates/gateway/src/cli/version.rs
+++ b/crates/gateway/src/cli/version.rs
@@ -4,12 +4,12 @@
 
 use crate::cli::Output;
 
-/// The subcommand takes no options.
+/// Parses the command line of `leverpoint version`, which takes no options.
 pub(super) fn options() -> OptionParser<()> {
     pure(()).to_options().descr("Prints the version")
 }
 
-/// The version as it is printed.
+/// Returns the line that is printed: the program's name and its package version.
 pub(super) fn run() -> Output {
     Output::success(format!("leverpoint {}\n", env!("CARGO_PKG_VERSION")))
 }
