--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -111,29 +111,29 @@
 /// Persists each received state until the queue is closed; runs on the writer thread.
 fn persist_all(mut directory: Directory, requests: &Receiver<PersistRequest>) {
     let mut failed = false;
-    while let Ok((mut value, notify)) = requests.recv() {
-        let mut waiting = vec![notify];
+    while let Ok((mut value, sender)) = requests.recv() {
+        let mut senders = vec![sender];
         // Only the newest queued state is written: it replaces those before it.
-        while let Ok((newer, notify)) = requests.try_recv() {
+        while let Ok((newer, sender)) = requests.try_recv() {
             value = newer;
-            waiting.push(notify);
+            senders.push(sender);
         }
         // After a failed write the content of the disk is unknown, so all later writes count as failed.
         failed |= snapshot::write(&mut directory, &value).is_err();
-        for notify in waiting {
+        for sender in senders {
             // The receiver is gone if the member has ended.
-            let _ = notify.send(!failed);
+            let _ = sender.send(!failed);
         }
     }
 }
 
 impl StateStore for StateWriter {
-    fn persist(&self, value: Vec<u8>, then: Box<dyn FnOnce(bool)>) {
-        let (notify, persisted) = oneshot::channel();
-        if self.queue.try_send((value, notify)).is_err() {
-            return then(false);
+    fn persist(&self, value: Vec<u8>, on_persisted: Box<dyn FnOnce(bool)>) {
+        let (sender, persisted) = oneshot::channel();
+        if self.queue.try_send((value, sender)).is_err() {
+            return on_persisted(false);
         }
-        spawn(async move { then(persisted.await.unwrap_or(false)) });
+        spawn(async move { on_persisted(persisted.await.unwrap_or(false)) });
     }
 }
 
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -75,14 +75,14 @@
             let fleet = membership::fleet_identity(membership);
             member.reconfigure(fleet, &membership.seeds);
         }
-        let changed_keys = |matches: &dyn Fn(&str) -> bool| {
+        let filter_changed = |matches: &dyn Fn(&str) -> bool| {
             let all = changed.iter().map(String::as_str);
             all.filter(|key| matches(key)).collect::<Vec<_>>()
         };
-        let new_connections_only = changed_keys(&|key| NEW_CONNECTION_KEYS.contains(&key));
+        let new_connections_only = filter_changed(&|key| NEW_CONNECTION_KEYS.contains(&key));
         slog::info!(self.log, "operator's file reloaded"; "changed" => changed.join(" "),
             "needs_restart_for_open_connections" => new_connections_only.join(" "));
-        let after_restart = changed_keys(&needs_restart);
+        let after_restart = filter_changed(&needs_restart);
         if !after_restart.is_empty() {
             slog::warn!(self.log, "operator's file change needs a restart"; "keys" => after_restart.join(" "));
         }
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -50,16 +50,16 @@
 
 /// Persists the received batches until the queue is closed, all queued ones in one commit; runs on the writer thread.
 fn persist_all(mut store: SegmentedLog<Directory>, batches: &Receiver<Batch>) {
-    while let Ok((mut log_records, notify)) = batches.recv() {
-        let mut waiting = vec![notify];
-        while let Ok((more, notify)) = batches.try_recv() {
-            log_records.extend(more);
-            waiting.push(notify);
+    while let Ok((mut log_records, sender)) = batches.recv() {
+        let mut senders = vec![sender];
+        while let Ok((batch, sender)) = batches.try_recv() {
+            log_records.extend(batch);
+            senders.push(sender);
         }
         let persisted = log_records.is_empty() || store.commit(&log_records).is_ok();
-        for notify in waiting {
+        for sender in senders {
             // The receiver is gone if the gateway has ended.
-            let _ = notify.send(persisted);
+            let _ = sender.send(persisted);
         }
     }
 }
@@ -79,7 +79,7 @@
         &self,
         records: Vec<Record>,
         metadata: Option<PersistedMetadata>,
-        then: Box<dyn FnOnce(bool)>,
+        on_persisted: Box<dyn FnOnce(bool)>,
     ) {
         let mut log_records: Vec<LogRecord> = records.iter().filter_map(log_record).collect();
         let metadata =
@@ -89,11 +89,11 @@
             last_touched: Ticks::MAX,
             value,
         }));
-        let (notify, persisted) = oneshot::channel();
-        if self.queue.try_send((log_records, notify)).is_err() {
-            return then(false);
+        let (sender, persisted) = oneshot::channel();
+        if self.queue.try_send((log_records, sender)).is_err() {
+            return on_persisted(false);
         }
-        spawn(async move { then(persisted.await.unwrap_or(false)) });
+        spawn(async move { on_persisted(persisted.await.unwrap_or(false)) });
     }
 }
 
