--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -1,4 +1,4 @@
-//! The engine's access to session tracking: reports writes to it, and asks it what a read must see.
+//! The engine's interface to session tracking, which determines the position that each read must observe.
 
 use std::cell::{Cell, RefCell};
 
@@ -9,34 +9,34 @@
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
 
-/// The session of one request.
+/// Session of a request, as recorded on its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSession {
-    /// Number of the session.
-    pub session: u64,
+    /// Hash of the session, see [`SessionConsistency::hash_session`].
+    pub hash: u64,
     set: usize,
     arrived_at: Ticks,
-    /// Whether the request writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// What a read must see.
+    /// Position that a read must observe; none for a write.
     pub requirement: Option<RequiredPosition>,
 }
 
-/// A request as session tracking needs it.
+/// An arriving request with the data that session tracking needs.
 pub struct RequestArrival<'a> {
-    /// What its class demands.
+    /// Consistency of its request class.
     pub consistency: Consistency,
-    /// Number of its session.
-    pub session: u64,
+    /// Hash of its session, see [`SessionConsistency::hash_session`].
+    pub session_hash: u64,
     /// Index of its replica set.
     pub set: usize,
-    /// The present time.
+    /// Time of its arrival on the engine's clock.
     pub now: Ticks,
-    /// Time left to its latency objective.
-    pub objective_left: Ticks,
-    /// Its session token.
+    /// Time from its arrival to its latency objective.
+    pub objective_remaining: Ticks,
+    /// Its session token, not verified yet.
     pub token: Option<&'a str>,
-    /// The position that replica holders have of its session.
+    /// Position of its session as known to replica holders.
     pub replicated_position: Option<Ticks>,
 }
 
@@ -47,7 +47,7 @@
         requirement: Option<RequiredPosition>,
     ) -> RequestSession {
         RequestSession {
-            session: self.session,
+            hash: self.session_hash,
             set: self.set,
             arrived_at: self.now,
             write,
@@ -56,96 +56,100 @@
     }
 }
 
-/// Persists records beyond the lifetime of this process.
+/// A function that persists session positions, so that they outlive this process.
 pub type Persister = Box<dyn Fn(&mut dyn Iterator<Item = SessionPosition>)>;
 
-/// What the sessions' reads must see.
+/// Tracks the positions that sessions have written, and signs and verifies session tokens.
 pub struct SessionConsistency {
-    book: RefCell<SessionTracker>,
+    tracker: RefCell<SessionTracker>,
     keys: Keys,
-    secret: u64,
+    /// Key of the session hash.
+    hash_secret: u64,
     clocks_checked_at: Cell<Ticks>,
     persister: RefCell<Option<Persister>>,
-    /// Whether positions are replicated: then a write's position goes to its holders before its answer goes out.
+    /// Whether positions are replicated: then a write's position is sent to its replica holders before its answer is
+    /// delivered.
     replicated: Cell<bool>,
 }
 
-/// How often the two clocks are compared.
+/// How often the wall clock is compared with the monotonic clock, in ticks; 1 s.
 const CLOCK_CHECK_INTERVAL: Ticks = 10_000;
 
 impl SessionConsistency {
-    /// Starts the tracking of sessions.
+    /// Creates a tracker without known sessions; `seed` is that of the tracker's random numbers.
     pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
         if plant("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
-        let book = RefCell::new(SessionTracker::new(tracking.config, now, seed));
+        let tracker = RefCell::new(SessionTracker::new(tracking.config, now, seed));
         SessionConsistency {
-            book,
+            tracker,
             keys: tracking.keys,
-            secret: tracking.hash_secret,
+            hash_secret: tracking.hash_secret,
             clocks_checked_at: Cell::new(now),
             persister: RefCell::new(None),
             replicated: Cell::new(false),
         }
     }
 
-    /// Notes that positions are replicated from now on.
+    /// Records that positions are replicated from now on.
     pub fn set_replicated(&self) {
         self.replicated.set(true);
     }
 
-    /// Returns the number of a session, the same at all gateways that share the secret.
-    pub fn session_number(&self, set: u16, key: &str) -> u64 {
-        session_hash(self.secret, set, key)
+    /// Returns the hash of a session, which is the same at all gateways with the same secret.
+    pub fn hash_session(&self, set: u16, key: &str) -> u64 {
+        session_hash(self.hash_secret, set, key)
     }
 
-    /// Returns the number of an idempotency key of a tenant, the same at all gateways that share the secret.
-    pub fn idempotency_number(&self, tenant: &str, key: &str) -> u64 {
-        // Session texts never begin with this byte, so the two kinds of numbers never collide by construction.
-        session_hash(self.secret, 0, &format!("\u{1}{tenant}\u{1}{key}"))
+    /// Returns the hash of a tenant's idempotency key, which is the same at all gateways with the same secret.
+    pub fn hash_idempotency_key(&self, tenant: &str, key: &str) -> u64 {
+        // Session keys never begin with this byte, so no session has the same hash input as an idempotency key.
+        session_hash(self.hash_secret, 0, &format!("\u{1}{tenant}\u{1}{key}"))
     }
 
-    /// Whether a read must see everything up to now, by what is known at this gateway alone.
-    pub fn needs_position(&self, session: u64, now: Ticks) -> bool {
-        self.book.borrow().requires_current_instant(session, now)
+    /// Whether a read of the session must observe all writes up to now, as far as this gateway knows on its own.
+    pub fn requires_current_position(&self, session: u64, now: Ticks) -> bool {
+        self.tracker.borrow().requires_current_instant(session, now)
     }
 
     /// Returns the replication position that covers all writes answered by `now`.
     pub fn position_at(&self, now: Ticks) -> Ticks {
-        self.book.borrow().instant(now)
+        self.tracker.borrow().instant(now)
     }
 
-    /// Sets what persists records.
+    /// Sets the function that persists new positions.
     pub fn set_persister(&self, persister: Persister) {
         *self.persister.borrow_mut() = Some(persister);
     }
 
-    /// Takes the records that an earlier process has persisted; `whole`: until when they are complete.
+    /// Restores the records that an earlier process has persisted. `missing_up_to` is none if that process did not shut
+    /// down cleanly; otherwise only positions up to it may be missing from `records`.
     pub fn on_recovered(
         &self,
         records: impl Iterator<Item = SessionPosition>,
-        whole: Option<Ticks>,
+        missing_up_to: Option<Ticks>,
     ) {
-        self.book.borrow_mut().restore(records, whole);
+        self.tracker.borrow_mut().restore(records, missing_up_to);
     }
 
+    /// Passes both clocks to the tracker once per interval, as a step of the wall clock ends its epoch.
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
-            self.book
+            self.tracker
                 .borrow_mut()
                 .on_clocks_read(now, (unix().as_micros() / 100) as Ticks, now);
         }
     }
 
-    /// Takes a request; returns its session where the request is tracked.
+    /// Records the arrival of a request; returns its session, or none if its consistency needs no tracking.
     pub fn on_request(&self, arrival: &RequestArrival<'_>) -> Option<RequestSession> {
         self.check_clocks(arrival.now);
         match arrival.consistency {
             Consistency::Write => {
-                let mut book = self.book.borrow_mut();
-                book.on_write(arrival.session, arrival.now);
+                let mut tracker = self.tracker.borrow_mut();
+                tracker.on_write(arrival.session_hash, arrival.now);
                 Some(arrival.request_session(true, None))
             }
             Consistency::Session => {
@@ -156,26 +160,26 @@
         }
     }
 
-    /// What a read must see.
+    /// Returns the position that a read must observe, and counts a token that is not valid.
     fn read_requirement(&self, arrival: &RequestArrival<'_>) -> RequiredPosition {
-        let mut book = self.book.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         let verified = arrival
             .token
-            .and_then(|token| self.verified_position(token, arrival.session));
+            .and_then(|token| self.verified_position(token, arrival.session_hash));
         if arrival.token.is_some() && verified.is_none() {
-            book.counts.refused_tokens += 1;
+            tracker.counts.refused_tokens += 1;
         }
-        book.on_read(
-            arrival.session,
+        tracker.on_read(
+            arrival.session_hash,
             arrival.set,
             arrival.now,
-            arrival.objective_left,
+            arrival.objective_remaining,
             verified,
             arrival.replicated_position,
         )
     }
 
-    /// The position that a session token proves; none where the token is not valid for the session.
+    /// Returns the position in a session token; none if the token is not valid for the session.
     fn verified_position(&self, text: &str, session: u64) -> Option<Ticks> {
         if plant("token-forged") {
             return Some(1);
@@ -183,7 +187,7 @@
         SessionToken::read(&self.keys, text, session)
     }
 
-    /// Whether a complete row waits until the server has reported its role and position.
+    /// Whether a complete row must be held back until the server has reported its role and position.
     pub fn needs_report(&self, session: &RequestSession) -> bool {
         if session.write {
             !self.keys.is_empty() || self.replicated.get()
@@ -192,16 +196,16 @@
         }
     }
 
-    /// Takes note of a complete row: a write's position is unknown until the server has reported it.
+    /// Handles a complete row: the position of a write is unknown until the server has reported it.
     pub fn on_row_complete(&self, session: &RequestSession, now: Ticks) {
         if session.write {
-            self.book
+            self.tracker
                 .borrow_mut()
-                .on_write_uncertain(session.session, now);
+                .on_write_uncertain(session.hash, now);
         }
     }
 
-    /// Whether a server's report behind a row covers what the read must see.
+    /// Whether a server's report after a row shows that the read has observed its required position.
     pub fn is_covered(
         &self,
         session: &RequestSession,
@@ -212,12 +216,16 @@
             return true;
         };
         let Some(report) = report else { return false };
-        self.book
-            .borrow_mut()
-            .satisfies(now, report.primary, report.position, requirement.position)
+        self.tracker.borrow_mut().satisfies(
+            now,
+            report.primary,
+            report.position,
+            requirement.position,
+        )
     }
 
-    /// Returns the session token of a write that was answered at the reported position.
+    /// Returns a signed session token for a write that was answered at the reported position; none for a read, without
+    /// a position or without a signing key.
     pub fn sign_token(
         &self,
         session: &RequestSession,
@@ -228,7 +236,7 @@
             .write
             .then(|| {
                 SessionToken {
-                    session: session.session,
+                    session: session.hash,
                     position,
                 }
                 .sign(&self.keys)
@@ -236,7 +244,7 @@
             .flatten()
     }
 
-    /// Takes the outcome of an attempt.
+    /// Handles the outcome of an attempt, and persists the positions that result from it.
     pub fn on_attempt_finished(
         &self,
         session: &RequestSession,
@@ -250,8 +258,8 @@
             self.on_read_finished(session, now, outcome, report);
         }
         let persister = self.persister.borrow();
-        let mut book = self.book.borrow_mut();
-        let mut records = book.drain_positions();
+        let mut tracker = self.tracker.borrow_mut();
+        let mut records = tracker.drain_positions();
         if let Some(persist) = &*persister {
             persist(&mut records);
         }
@@ -264,12 +272,12 @@
         outcome: AttemptOutcome,
         report: Option<ServerReport>,
     ) {
-        let mut book = self.book.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         if outcome == AttemptOutcome::Answered {
             let position = report.and_then(|report| report.position);
-            book.on_write_answered(session.session, now, position);
+            tracker.on_write_answered(session.hash, now, position);
         } else if !outcome.never_executed() {
-            book.on_write_uncertain(session.session, now);
+            tracker.on_write_uncertain(session.hash, now);
         }
     }
 
@@ -287,27 +295,27 @@
             .is_some_and(|requirement| !requirement.exact);
         if (answered || outcome == AttemptOutcome::NotCaughtUp) && at_replica && estimated {
             let elapsed = now - session.arrived_at;
-            let mut book = self.book.borrow_mut();
-            book.on_replica_read(session.set, now, elapsed, answered);
+            let mut tracker = self.tracker.borrow_mut();
+            tracker.on_replica_read(session.set, now, elapsed, answered);
         }
     }
 
-    /// Returns the counters as one line of name=count.
+    /// Returns the counters as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
-        let book = self.book.borrow();
-        let c = book.counts;
+        let tracker = self.tracker.borrow();
+        let counts = tracker.counts;
         format!(
             "sessions.known={} sessions.bytes={} reads.exact={} reads.instant={} reads.carried={} reads.asked={} \
              tokens.refused={} sessions.let_go={} epochs={}",
-            book.sessions(),
-            book.bytes(),
-            c.exact,
-            c.instant,
-            c.carried,
-            c.asked,
-            c.refused_tokens,
-            c.evicted,
-            c.epochs
+            tracker.sessions(),
+            tracker.bytes(),
+            counts.exact,
+            counts.instant,
+            counts.carried,
+            counts.asked,
+            counts.refused_tokens,
+            counts.evicted,
+            counts.epochs
         )
     }
 }
