--- a/crates/cluster-model/src/endpoint_list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -1,38 +1,50 @@
-//! Owns the list of machines as discovery keeps it: revisions, and what has changed since one.
+//! The endpoint list as discovery publishes it: its revisions, and which entries have changed since a given revision.
 //!
-//! It must never tell a change that has not been published.
+//! # Invariants
+//!
+//! A change is not visible to readers before it has been published.
 
 use crate::Ticks;
 
+/// Lifecycle phase of a server as published in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
+    /// The server takes requests.
     Up,
+    /// The server finishes its work and takes no new requests.
     Draining,
+    /// The server has left the cluster; only readers that hold an older revision still get this entry.
     Removed,
 }
 
+/// State of one server as published.
 #[derive(Clone, Debug)]
 pub struct Entry {
+    /// Index of the server in the whole cluster.
     pub server: usize,
+    /// Index of the replica set that the server belongs to.
     pub replica_set: usize,
+    /// Lifecycle phase of the server.
     pub phase: Phase,
+    /// Whether the server is the primary of its replica set.
     pub is_primary: bool,
-    /// Its last start; 0 when long ago.
+    /// Time of the last start; 0 if the server has run since before the model began.
     pub started_at: Ticks,
+    /// Revision of the list in which the entry last changed.
     revision: u64,
 }
 
-/// What is published, and what waits to be.
+/// The published entries, and the changes that are scheduled for publication.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
     revision: u64,
     entries: Vec<Entry>,
-    /// Changes by when they are published.
-    due: Vec<(Ticks, Entry)>,
+    /// Changes that have not been published yet, each with its time of publication.
+    scheduled: Vec<(Ticks, Entry)>,
 }
 
 impl EndpointList {
-    /// A change that becomes known so much later.
+    /// Schedules a change of a server's entry, to be published once the time is `at`.
     pub fn schedule_change(
         &mut self,
         at: Ticks,
@@ -42,7 +54,7 @@
         is_primary: bool,
         started_at: Ticks,
     ) {
-        self.due.push((
+        self.scheduled.push((
             at,
             Entry {
                 server,
@@ -55,12 +67,13 @@
         ));
     }
 
-    /// Publishes what is due; whether anything was.
+    /// Publishes all changes that are due at `now`, and returns whether there were any.
     pub fn publish_due(&mut self, now: Ticks) -> bool {
-        let (mut due, later): (Vec<_>, Vec<_>) = self.due.drain(..).partition(|(at, _)| *at <= now);
-        self.due = later;
+        let (mut due, later): (Vec<_>, Vec<_>) =
+            self.scheduled.drain(..).partition(|(at, _)| *at <= now);
+        self.scheduled = later;
         due.sort_by_key(|(at, entry)| (*at, entry.server));
-        let any = !due.is_empty();
+        let has_due = !due.is_empty();
         for (_, mut entry) in due {
             self.revision += 1;
             entry.revision = self.revision;
@@ -68,18 +81,20 @@
             self.entries.push(entry);
         }
         self.entries.sort_by_key(|e| e.server);
-        any
+        has_due
     }
 
+    /// Returns when the next scheduled change is due, or `None` if none is scheduled.
     pub fn next_publication_at(&self) -> Option<Ticks> {
-        self.due.iter().map(|(at, _)| *at).min()
+        self.scheduled.iter().map(|(at, _)| *at).min()
     }
 
+    /// Returns the latest published revision; 0 before the first publication.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Entries changed since that revision; all but the removed ones where none is named.
+    /// Returns the entries that have changed since `revision`, or all entries except removed servers for `None`.
     pub fn changed_since(&self, revision: Option<u64>) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(move |e| match revision {
             Some(revision) => e.revision > revision,
