--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,8 +1,13 @@
-//! What the network code stands on: a clock, timers, tasks and connections. In the daemon they are tokio's; where a
-//! world is set for the thread they are that world's, so that the same code runs on virtual time.
+//! Clock, timers, tasks and connections for the network code.
 //!
-//! Nothing here knows what is said on a connection or decides anything. Code above it must take time, tasks and
-//! connections from here alone, or a world would not see them.
+//! In the daemon they are tokio's. Where a simulated runtime is set for the thread, that runtime provides them, so
+//! that the same code runs on virtual time.
+//!
+//! # Invariants
+//!
+//! - This crate neither interprets the bytes on a connection nor makes decisions.
+//! - Code built on it takes time, tasks and connections from this crate only; a simulated runtime has no control over
+//!   any others.
 
 mod stream;
 mod time;
@@ -23,21 +28,26 @@
 pub use time::{Elapsed, Sleep, poll_once, sleep, sleep_until, timeout, timeout_at, yield_now};
 pub use tokio::time::Instant;
 
+/// A task for a simulated runtime to run.
 pub type Task = Pin<Box<dyn Future<Output = ()>>>;
+/// The establishment of a simulated connection.
 pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Rc<dyn SimulatedConnection>>>>>;
 
-/// Another ground than tokio's: one for each thread at most.
+/// A runtime that replaces tokio's on one thread and may simulate several processes.
 pub trait SimulatedRuntime {
+    /// Returns the current virtual time.
     fn now(&self) -> Instant;
-    /// The time of day, as the process that runs just now knows it.
+    /// Returns the time of day since the Unix epoch, by the clock of the running process.
     fn unix_time(&self) -> Duration;
-    /// The waker is woken once `at` has come, unless the timer is dropped before.
+    /// Starts a timer that wakes `waker` at `at` unless it is cancelled before, and returns its id.
     fn start_timer(&self, at: Instant, waker: &Waker) -> u64;
+    /// Cancels a timer; does nothing if it has fired.
     fn cancel_timer(&self, timer: u64);
-    /// A task of the process that runs just now.
+    /// Spawns a task in the running process.
     fn spawn(&self, task: Task);
+    /// Connects from the running process to the listener at `to`.
     fn connect(&self, to: SocketAddr) -> ConnectFuture;
-    /// A number that nobody in the world can guess.
+    /// Returns a number that no simulated process can predict.
     fn secure_random_u64(&self) -> u64;
 }
 
@@ -45,27 +55,29 @@
     static SIMULATED_RUNTIME: RefCell<Option<Rc<dyn SimulatedRuntime>>> = const { RefCell::new(None) };
 }
 
-/// From here on this thread stands on that world, or on tokio again.
+/// Sets the simulated runtime of this thread; `None` returns to tokio.
 pub fn set_simulated_runtime(runtime: Option<Rc<dyn SimulatedRuntime>>) {
-    SIMULATED_RUNTIME.with(|w| *w.borrow_mut() = runtime);
+    SIMULATED_RUNTIME.with(|current| *current.borrow_mut() = runtime);
 }
 
 fn simulated_runtime() -> Option<Rc<dyn SimulatedRuntime>> {
-    SIMULATED_RUNTIME.with(|w| w.borrow().clone())
+    SIMULATED_RUNTIME.with(|current| current.borrow().clone())
 }
 
+/// Returns the current time of the monotonic clock, which is virtual in a simulated runtime.
 pub fn now() -> Instant {
-    SIMULATED_RUNTIME.with(|w| match &*w.borrow() {
+    SIMULATED_RUNTIME.with(|current| match &*current.borrow() {
         None => Instant::now(),
         Some(runtime) => runtime.now(),
     })
 }
 
-/// How long ago that was.
+/// Returns the time elapsed since `then`, or zero if `then` is in the future.
 pub fn since(then: Instant) -> Duration {
     now().saturating_duration_since(then)
 }
 
+/// Returns the time of day since the Unix epoch; zero if the clock is set before it.
 pub fn unix_time() -> Duration {
     match simulated_runtime() {
         None => SystemTime::now()
@@ -75,7 +87,7 @@
     }
 }
 
-/// A number that nobody can guess, from the operating system; none where it has none.
+/// Returns an unpredictable number from the operating system's random source, or `None` if the source fails.
 pub fn secure_random_u64() -> Option<u64> {
     match simulated_runtime() {
         None => getrandom::u64().ok(),
@@ -83,7 +95,7 @@
     }
 }
 
-/// Starts a task that goes on by itself; what it panics with ends it alone.
+/// Spawns a detached task on this thread. A panic in it ends that task only.
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     match simulated_runtime() {
         None => drop(tokio::task::spawn_local(task)),
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -1,6 +1,9 @@
-//! Owns connections as the code above sees them: tokio's, or a pipe of the world's.
+//! Connections and listeners: tokio's TCP sockets, or those of a simulated runtime.
 //!
-//! It must never buffer a byte of its own.
+//! # Invariants
+//!
+//! Nothing is buffered here: bytes stay in the socket until they are read, and a write takes only what the socket
+//! takes.
 
 use std::future::{Future, poll_fn};
 use std::io::{self, IoSlice, IoSliceMut, Read};
@@ -17,43 +20,65 @@
 
 use crate::{simulated_runtime, sleep};
 
-/// How often a connection with something unread is looked at for its end: several times in the tenth of a
-/// second after which nothing may go out for a client that has gone.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a connection is checked for being closed by the peer while received bytes stay unread.
+///
+/// No request may be sent on behalf of a client that closed its connection more than 100 ms ago, so this is a
+/// fraction of that time.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One end of a connection in a world.
+/// One end of a connection in a simulated runtime.
 pub trait SimulatedConnection {
+    /// Waits until there are bytes to read, or the peer has closed or reset the connection.
     fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<()>;
+    /// Reads what has been received; 0 after the peer's close.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::WouldBlock`] if nothing has been received, [`io::ErrorKind::ConnectionReset`] after a reset.
     fn try_read(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize>;
-    /// Whether the other side has ended or reset it, whatever of it is still unread.
+    /// Returns whether the peer has closed or reset the connection, even if received bytes are still unread.
     fn peer_closed(&self) -> bool;
+    /// Waits until bytes can be written, or the connection has been reset.
     fn poll_writable(&self, cx: &mut Context<'_>) -> Poll<()>;
+    /// Writes as many bytes as the connection's window takes, and returns their number.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::WouldBlock`] if the window is full, [`io::ErrorKind::BrokenPipe`] if nothing can be written
+    /// any more.
     fn try_write(&self, from: &[IoSlice<'_>]) -> io::Result<usize>;
-    /// Nothing more is written; the other side reads the end behind what stands.
+    /// Closes the direction of writing; the peer reads the end after all bytes written before.
     fn shutdown_write(&self);
-    /// What stands on its way is lost, and the other side is reset, when this end is dropped.
+    /// Makes a drop of this end discard the bytes in transit and reset the connection.
     fn reset_on_drop(&self);
-    /// Bytes written that have not come to the other side.
+    /// Returns how many of the bytes written have not reached the peer yet.
     fn unacknowledged_bytes(&self) -> usize;
 }
 
+/// A connection; clones share it.
 #[derive(Clone)]
 pub enum Stream {
+    /// A TCP connection of tokio's.
     Tcp(Rc<TcpStream>),
+    /// A connection in a simulated runtime.
     Simulated(Rc<dyn SimulatedConnection>),
 }
 
-/// To ask something of a connection for as long as it is there.
+/// A weak reference to a connection, for querying its state without keeping it open.
 #[derive(Clone)]
 pub enum WeakStream {
+    /// A TCP connection of tokio's.
     Tcp(Weak<TcpStream>),
+    /// A connection in a simulated runtime.
     Simulated(Weak<dyn SimulatedConnection>),
+    /// No connection; it counts as open, with nothing unacknowledged.
     None,
 }
 
 impl Stream {
-    /// Connects; `kernel` is what the kernel is asked to keep each way, where that is bounded.
-    pub async fn connect(to: SocketAddr, kernel: Option<usize>) -> io::Result<Stream> {
+    /// Connects to `to`. `kernel_buffer_bytes` limits the kernel's send and receive buffers, each; `None` leaves the
+    /// system's defaults. A simulated connection ignores it.
+    pub async fn connect(to: SocketAddr, kernel_buffer_bytes: Option<usize>) -> io::Result<Stream> {
         if let Some(runtime) = simulated_runtime() {
             let connecting = runtime.connect(to);
             drop(runtime);
@@ -64,127 +89,143 @@
         } else {
             TcpSocket::new_v6()?
         };
-        if let Some(bytes) = kernel {
-            // Before it connects, as the window is agreed on then.
+        if let Some(bytes) = kernel_buffer_bytes {
+            // Set before the connect, as the handshake negotiates the window scale.
             socket.set_recv_buffer_size(bytes as u32)?;
             socket.set_send_buffer_size(bytes as u32)?;
         }
         Ok(Stream::from_tcp(socket.connect(to).await?))
     }
 
+    /// Wraps an established TCP connection, and disables Nagle's algorithm on it.
     pub fn from_tcp(stream: TcpStream) -> Stream {
-        // A command or an answer is written whole at once; waiting for more would only delay it.
+        // Requests and responses are written whole, so Nagle's algorithm would only delay them.
         let _ = stream.set_nodelay(true);
         Stream::Tcp(Rc::new(stream))
     }
 
+    /// Waits until there may be bytes to read, or the peer has closed or reset the connection.
     pub async fn readable(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.readable().await,
-            Stream::Simulated(pipe) => {
-                poll_fn(|cx| pipe.poll_readable(cx)).await;
+            Stream::Simulated(end) => {
+                poll_fn(|cx| end.poll_readable(cx)).await;
                 Ok(())
             }
         }
     }
 
+    /// Reads without waiting; 0 after the peer's close.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::WouldBlock`] if the runtime knows of nothing to read. Bytes that have arrived since it last
+    /// polled the socket don't count, see [`Stream::read_bypassing_readiness`].
     pub fn try_read(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.try_read_vectored(to),
-            Stream::Simulated(pipe) => pipe.try_read(to),
+            Stream::Simulated(end) => end.try_read(to),
         }
     }
 
-    /// Reads what has come by now, also where nobody has been told of it yet.
+    /// Reads from the socket without waiting, also bytes of whose arrival the runtime has not been notified yet.
     pub fn read_bypassing_readiness(&self, to: &mut [IoSliceMut<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => (&*SockRef::from(&**stream)).read_vectored(to),
-            Stream::Simulated(pipe) => pipe.try_read(to),
+            Stream::Simulated(end) => end.try_read(to),
         }
     }
 
-    /// Whether the other side has ended or reset it as far as is known here, whatever of it is still unread.
+    /// Returns whether the peer is known to have closed or reset the connection, even if received bytes are still
+    /// unread.
     pub fn peer_closed(&self) -> bool {
         match self {
             Stream::Tcp(stream) => peer_closed(stream),
-            Stream::Simulated(pipe) => pipe.peer_closed(),
+            Stream::Simulated(end) => end.peer_closed(),
         }
     }
 
-    /// Waits until the other side has ended or reset it, and leaves unread what it has said.
+    /// Waits until the peer has closed or reset the connection, and leaves received bytes unread.
     pub async fn wait_for_peer_close(&self) {
         while !self.peer_closed() {
-            sleep(LOOK).await;
+            sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
+    /// Waits until bytes can be written, or the connection has failed.
     pub async fn writable(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => stream.writable().await,
-            Stream::Simulated(pipe) => {
-                poll_fn(|cx| pipe.poll_writable(cx)).await;
+            Stream::Simulated(end) => {
+                poll_fn(|cx| end.poll_writable(cx)).await;
                 Ok(())
             }
         }
     }
 
+    /// Writes without waiting as many bytes as the send buffer takes, and returns their number.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::WouldBlock`] if it takes none.
     pub fn try_write(&self, from: &[IoSlice<'_>]) -> io::Result<usize> {
         match self {
             Stream::Tcp(stream) => stream.try_write_vectored(from),
-            Stream::Simulated(pipe) => pipe.try_write(from),
+            Stream::Simulated(end) => end.try_write(from),
         }
     }
 
-    /// Tells the other side that nothing more comes.
+    /// Closes the direction of writing; the peer reads the end after all bytes written before.
     pub fn shutdown_write(&self) -> io::Result<()> {
         match self {
             Stream::Tcp(stream) => SockRef::from(&**stream).shutdown(Shutdown::Write),
-            Stream::Simulated(pipe) => {
-                pipe.shutdown_write();
+            Stream::Simulated(end) => {
+                end.shutdown_write();
                 Ok(())
             }
         }
     }
 
-    /// It ends with what waits on it, at once, when it is dropped.
+    /// Makes the drop of the connection discard unsent bytes and reset it instead of closing it in order.
     pub fn reset_on_drop(&self) {
         match self {
             Stream::Tcp(stream) => drop(SockRef::from(&**stream).set_linger(Some(Duration::ZERO))),
-            Stream::Simulated(pipe) => pipe.reset_on_drop(),
+            Stream::Simulated(end) => end.reset_on_drop(),
         }
     }
 
+    /// Returns a weak reference to the connection.
     pub fn downgrade(&self) -> WeakStream {
         match self {
             Stream::Tcp(stream) => WeakStream::Tcp(Rc::downgrade(stream)),
-            Stream::Simulated(pipe) => WeakStream::Simulated(Rc::downgrade(pipe)),
+            Stream::Simulated(end) => WeakStream::Simulated(Rc::downgrade(end)),
         }
     }
 }
 
 impl WeakStream {
-    /// Whether the other side has ended or reset it as far as is known here, or it is no more.
+    /// Returns whether the peer is known to have closed or reset the connection, or the connection has been dropped.
     pub fn peer_closed(&self) -> bool {
         match self {
             WeakStream::Tcp(stream) => stream.upgrade().is_none_or(|stream| peer_closed(&stream)),
-            WeakStream::Simulated(pipe) => pipe.upgrade().is_none_or(|pipe| pipe.peer_closed()),
+            WeakStream::Simulated(end) => end.upgrade().is_none_or(|end| end.peer_closed()),
             WeakStream::None => false,
         }
     }
 
-    /// Bytes written that the other side has not acknowledged; 0 where that can't be told.
+    /// Returns how many of the bytes written the peer has not acknowledged; 0 if that is unknown.
     pub fn unacknowledged_bytes(&self) -> usize {
         match self {
-            WeakStream::Tcp(stream) => stream.upgrade().map_or(0, |stream| outstanding(&stream)),
-            WeakStream::Simulated(pipe) => {
-                pipe.upgrade().map_or(0, |pipe| pipe.unacknowledged_bytes())
-            }
+            WeakStream::Tcp(stream) => stream
+                .upgrade()
+                .map_or(0, |stream| send_queue_bytes(&stream)),
+            WeakStream::Simulated(end) => end.upgrade().map_or(0, |end| end.unacknowledged_bytes()),
             WeakStream::None => 0,
         }
     }
 }
 
-/// What the runtime was last told of it: no call to the system.
+/// Returns whether the runtime's last readiness event reported the read side closed; makes no system call.
 fn peer_closed(stream: &TcpStream) -> bool {
     let ready = pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
@@ -194,26 +235,34 @@
     }
 }
 
-fn outstanding(stream: &TcpStream) -> usize {
+/// Returns the size of the kernel's send queue, which holds unsent and unacknowledged bytes; 0 if the query fails.
+fn send_queue_bytes(stream: &TcpStream) -> usize {
     let mut bytes: libc::c_int = 0;
-    // SAFETY: the descriptor is open for as long as its stream is held, and the call writes one int.
-    let told = unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut bytes) };
-    if told == 0 { bytes.max(0) as usize } else { 0 }
+    // SAFETY: the borrowed stream keeps the descriptor open, and TIOCOUTQ writes one int.
+    let status = unsafe { libc::ioctl(stream.as_raw_fd(), libc::TIOCOUTQ, &mut bytes) };
+    if status == 0 {
+        bytes.max(0) as usize
+    } else {
+        0
+    }
 }
 
-/// Where connections come in.
+/// A socket that accepts connections.
 pub enum Listener {
+    /// A TCP listener of tokio's.
     Tcp(TcpListener),
-    /// Gives each connection that has come, in their order.
+    /// A listener in a simulated runtime.
     Simulated(Rc<dyn SimulatedListener>),
 }
 
-/// A listener in a world.
+/// A listener in a simulated runtime.
 pub trait SimulatedListener {
+    /// Waits for the next connection; connections are accepted in the order of their arrival.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<Rc<dyn SimulatedConnection>>;
 }
 
 impl Listener {
+    /// Waits for the next connection and accepts it.
     pub async fn accept(&self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => Ok(Stream::from_tcp(listener.accept().await?.0)),
--- a/crates/runtime/src/time.rs
+++ b/crates/runtime/src/time.rs
@@ -1,6 +1,6 @@
-//! Owns timers: sleeping, and waiting for something no longer than to a time.
+//! Sleeping and timeouts, on tokio's timers or those of a simulated runtime.
 //!
-//! What is waited for is always asked before the timer, so that what has come in the last instant counts.
+//! A timeout polls its future before its timer, so that a result that is ready at the deadline counts.
 
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
@@ -13,30 +13,31 @@
 
 use crate::{SimulatedRuntime, now, simulated_runtime};
 
-/// A wait has come to its end before what was waited for.
+/// The error of a wait whose deadline passed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
 pin_project! {
-    /// Ready once a time has come.
+    /// A future that is ready at a given time.
     #[project = SleepProj]
     pub enum Sleep {
         Tokio { #[pin] sleep: tokio::time::Sleep },
-        Simulated { timer: Timer },
+        Simulated { timer: SimulatedTimer },
     }
 }
 
-/// A timer of a world; it ends with its drop.
-pub struct Timer {
+/// A timer of a simulated runtime; its drop cancels it.
+pub struct SimulatedTimer {
     runtime: Rc<dyn SimulatedRuntime>,
     at: Instant,
-    timer: Option<u64>,
+    /// Id of the running timer; `None` before the first poll.
+    id: Option<u64>,
 }
 
-impl Drop for Timer {
+impl Drop for SimulatedTimer {
     fn drop(&mut self) {
-        if let Some(timer) = self.timer.take() {
-            self.runtime.cancel_timer(timer);
+        if let Some(id) = self.id.take() {
+            self.runtime.cancel_timer(id);
         }
     }
 }
@@ -51,34 +52,36 @@
                 if timer.runtime.now() >= timer.at {
                     return Poll::Ready(());
                 }
-                // The waker may be another one than at the last poll.
-                if let Some(old) = timer.timer.take() {
+                // The waker may differ from that of the last poll, so the timer is started anew.
+                if let Some(old) = timer.id.take() {
                     timer.runtime.cancel_timer(old);
                 }
-                timer.timer = Some(timer.runtime.start_timer(timer.at, cx.waker()));
+                timer.id = Some(timer.runtime.start_timer(timer.at, cx.waker()));
                 Poll::Pending
             }
         }
     }
 }
 
+/// Returns a future that is ready at `at`.
 pub fn sleep_until(at: Instant) -> Sleep {
     match simulated_runtime() {
         None => Sleep::Tokio {
             sleep: tokio::time::sleep_until(at),
         },
         Some(runtime) => Sleep::Simulated {
-            timer: Timer {
+            timer: SimulatedTimer {
                 runtime,
                 at,
-                timer: None,
+                id: None,
             },
         },
     }
 }
 
-pub fn sleep(span: Duration) -> Sleep {
-    sleep_until(now() + span)
+/// Returns a future that is ready after `duration`.
+pub fn sleep(duration: Duration) -> Sleep {
+    sleep_until(now() + duration)
 }
 
 pin_project! {
@@ -100,6 +103,11 @@
     }
 }
 
+/// Waits for `future` until `at`.
+///
+/// # Errors
+///
+/// The future returned yields [`Elapsed`] if `future` is not ready at that time.
 pub fn timeout_at<F: Future>(
     at: Instant,
     future: F,
@@ -110,14 +118,19 @@
     }
 }
 
+/// Waits for `future` for at most `duration`.
+///
+/// # Errors
+///
+/// The future returned yields [`Elapsed`] if `future` is not ready within that time.
 pub fn timeout<F: Future>(
-    span: Duration,
+    duration: Duration,
     future: F,
 ) -> impl Future<Output = Result<F::Output, Elapsed>> {
-    timeout_at(now() + span, future)
+    timeout_at(now() + duration, future)
 }
 
-/// Lets all others that are ready go on first.
+/// Yields to the other tasks that are ready.
 pub async fn yield_now() {
     let mut yielded = false;
     poll_fn(|cx| {
@@ -130,7 +143,7 @@
     .await;
 }
 
-/// What a future has come to without waiting, if anything.
+/// Polls a future once, and returns its output if it was ready.
 pub async fn poll_once<F: Future + Unpin>(mut future: F) -> Option<F::Output> {
     poll_fn(|cx| match Pin::new(&mut future).poll(cx) {
         Poll::Ready(output) => Poll::Ready(Some(output)),
