--- a/crates/signing/src/lib.rs
+++ b/crates/signing/src/lib.rs
@@ -1,9 +1,14 @@
-//! Keys that sign tokens, cursors and frames: a kind byte, the key's number, the payload, half of an HMAC-SHA-256.
+//! Signatures for session tokens, pagination cursors and frames.
+//!
+//! A signed payload consists of a kind byte, the key's number in one byte, the payload, and the first half of an
+//! HMAC-SHA-256. The HMAC covers the bytes before it and a bearer, which is the identity that the payload is issued for
+//! and is not transmitted.
+//!
+//! The crate does no I/O and reads no clock: whoever reads a payload decides how long it is valid.
 //!
 //! # Invariants
 //!
-//! Nothing verifies that a known key has not signed for the same kind and bearer. No I/O and no clock: how long a payload
-//! is valid is decided by its reader.
+//! Bytes verify only if a configured key has signed them for the same kind and bearer.
 
 #![warn(missing_docs)]
 
@@ -11,12 +16,12 @@
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// A key, and the number by which signatures name it.
+/// A signing key and the number that identifies it in signatures.
 #[derive(Clone)]
 pub struct Key {
-    /// Number of the key.
+    /// Number of the key, unique among the configured keys.
     pub number: u8,
-    /// Secret of the HMAC.
+    /// Secret of the HMAC; never printed by `Debug`.
     pub secret: Vec<u8>,
 }
 
@@ -30,69 +35,77 @@
 #[derive(Clone, Debug, Default)]
 pub struct Keys(Vec<Key>);
 
-/// Why a signature does not verify.
+/// The reason for which signed bytes do not verify.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignatureError {
-    /// Not of the form.
+    /// The bytes are too short, the text is too long or not base64, or the kind is another one.
     Malformed,
-    /// It names a key that is not configured, any more or yet.
+    /// The key is not configured: it has been removed, or not been added yet.
     UnknownKey,
-    /// The code does not match, or is for another bearer.
+    /// The HMAC does not match: the bytes were changed, or were signed for another bearer.
     Forged,
 }
 
-/// Bytes of the truncated code: half of SHA-256.
-const CODE: usize = 16;
-/// Bytes of the kind and the key's number.
-const HEAD: usize = 2;
-/// Bytes that a signature adds to its payload.
-pub const SIGNATURE_OVERHEAD: usize = HEAD + CODE;
+/// Length of the truncated HMAC in bytes: half of SHA-256.
+const MAC_LENGTH: usize = 16;
+/// Length of the kind and the key's number in bytes.
+const HEADER_LENGTH: usize = 2;
+/// Number of bytes that a signature adds to its payload.
+pub const SIGNATURE_OVERHEAD: usize = HEADER_LENGTH + MAC_LENGTH;
 
-/// Length of a signed payload of `payload` bytes as text.
+/// Returns the length in characters of the signed text for a payload of `payload` bytes.
 pub const fn text_length(payload: usize) -> usize {
     ((payload + SIGNATURE_OVERHEAD) * 4).div_ceil(3)
 }
 
 impl Keys {
-    /// At most sixteen, each number once.
+    /// Creates the key set; the first key signs. Only the first sixteen keys are kept.
+    ///
+    /// If two keys have the same number, the latter never verifies.
     pub fn new(mut keys: Vec<Key>) -> Keys {
         keys.truncate(16);
         Keys(keys)
     }
 
-    /// Whether there is no key.
+    /// Returns whether there is no key, so that nothing can be signed or verified.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    fn code(key: &Key, signed: &[u8], bearer: &[u8]) -> Option<Hmac<Sha256>> {
-        let mut code = Hmac::<Sha256>::new_from_slice(&key.secret).ok()?;
-        code.update(signed);
-        code.update(bearer);
-        Some(code)
+    /// Returns the HMAC, not finalized, of the signed bytes and the bearer, or `None` if the secret is not usable.
+    fn mac(key: &Key, signed: &[u8], bearer: &[u8]) -> Option<Hmac<Sha256>> {
+        let mut mac = Hmac::<Sha256>::new_from_slice(&key.secret).ok()?;
+        mac.update(signed);
+        mac.update(bearer);
+        Some(mac)
     }
 
-    /// Signs `payload` for a bearer that is not transmitted; `None` where there is no key.
+    /// Signs `payload` for a bearer that is not transmitted. Returns `None` if there is no key.
     ///
-    /// Payloads of one kind have one length or state their length, so that no part of a bearer can be taken for payload.
+    /// The bearer follows the payload in the HMAC without a separator. So that no part of a bearer can be taken for
+    /// payload, all payloads of one kind must have the same length, or the length must be signed with them.
     pub fn sign(&self, kind: u8, payload: &[u8], bearer: &[u8]) -> Option<Vec<u8>> {
         let key = self.0.first()?;
         let mut signed = Vec::with_capacity(payload.len() + SIGNATURE_OVERHEAD);
         signed.extend([kind, key.number]);
         signed.extend(payload);
-        let code = Self::code(key, &signed, bearer)?.finalize().into_bytes();
-        signed.extend(&code[..CODE]);
+        let mac = Self::mac(key, &signed, bearer)?.finalize().into_bytes();
+        signed.extend(&mac[..MAC_LENGTH]);
         Some(signed)
     }
 
     /// Verifies signed bytes for a bearer, and returns the payload.
+    ///
+    /// # Errors
+    ///
+    /// See [`SignatureError`].
     pub fn verify(&self, kind: u8, bytes: &[u8], bearer: &[u8]) -> Result<Vec<u8>, SignatureError> {
-        let payload = bytes
+        let mac_start = bytes
             .len()
-            .checked_sub(CODE)
-            .filter(|payload| *payload >= HEAD)
+            .checked_sub(MAC_LENGTH)
+            .filter(|mac_start| *mac_start >= HEADER_LENGTH)
             .ok_or(SignatureError::Malformed)?;
-        let (signed, code) = bytes.split_at(payload);
+        let (signed, mac) = bytes.split_at(mac_start);
         if signed[0] != kind {
             return Err(SignatureError::Malformed);
         }
@@ -101,28 +114,32 @@
             .iter()
             .find(|key| key.number == signed[1])
             .ok_or(SignatureError::UnknownKey)?;
-        let expected = Self::code(key, signed, bearer).ok_or(SignatureError::UnknownKey)?;
+        let expected = Self::mac(key, signed, bearer).ok_or(SignatureError::UnknownKey)?;
         expected
-            .verify_truncated_left(code)
+            .verify_truncated_left(mac)
             .map_err(|_| SignatureError::Forged)?;
-        Ok(signed[HEAD..].to_vec())
+        Ok(signed[HEADER_LENGTH..].to_vec())
     }
 
-    /// Signs as text, in URL-safe base64.
+    /// Signs like [`Keys::sign`], and returns text in URL-safe base64 without padding.
     pub fn sign_text(&self, kind: u8, payload: &[u8], bearer: &[u8]) -> Option<String> {
         self.sign(kind, payload, bearer)
             .map(|signed| BASE64URL_NOPAD.encode(&signed))
     }
 
-    /// Verifies a text whose payload has at most `most` bytes, and returns the payload.
+    /// Verifies signed text whose payload has at most `max_payload` bytes, and returns the payload.
+    ///
+    /// # Errors
+    ///
+    /// See [`SignatureError`]; a longer text is [`SignatureError::Malformed`].
     pub fn verify_text(
         &self,
         kind: u8,
         text: &str,
-        most: usize,
+        max_payload: usize,
         bearer: &[u8],
     ) -> Result<Vec<u8>, SignatureError> {
-        if text.len() > text_length(most) {
+        if text.len() > text_length(max_payload) {
             return Err(SignatureError::Malformed);
         }
         let bytes = BASE64URL_NOPAD
