--- a/crates/pagination/src/book.rs
+++ b/crates/pagination/src/book.rs
@@ -408,10 +408,10 @@
 /// The cursor to go on with behind a page that was read in that word.
 pub fn next(cursor: &Cursor, word: &crate::Word, place: Vec<u8>) -> Cursor {
     Cursor {
-        position: cursor.position.max(word.position),
-        history: word.history,
-        pages: cursor.pages.saturating_add(1),
-        place,
+        latest_position: cursor.latest_position.max(word.position),
+        timeline: word.history,
+        pages_delivered: cursor.pages_delivered.saturating_add(1),
+        resume_key: place,
         ..cursor.clone()
     }
 }
--- a/crates/pagination/src/lib.rs
+++ b/crates/pagination/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use book::{Book, Caps, Counts, Turned};
 pub use crowd::Crowd;
-pub use cursor::{Cursor, Unread};
+pub use cursor::{Cursor, CursorError};
 pub use history::{Follows, Fork, Past, Word};
 pub use leverpoint_routing::api::Ticks;
 pub use life::{Effect, Seen, State, step};
--- a/crates/pagination/tests/listing.rs
+++ b/crates/pagination/tests/listing.rs
@@ -2,10 +2,11 @@
 
 use fastrand::Rng;
 use leverpoint_pagination::book::{Came, next};
-use leverpoint_pagination::cursor::{LONGEST, LONGEST_PLACE, bearer};
+use leverpoint_pagination::cursor::{MAX_CURSOR_LENGTH, MAX_RESUME_KEY_LENGTH, bearer};
 use leverpoint_pagination::history::judge;
 use leverpoint_pagination::{
-    Book, Caps, Crowd, Cursor, Effect, Follows, Fork, Past, Seen, State, Turned, Unread, Word, step,
+    Book, Caps, Crowd, Cursor, CursorError, Effect, Follows, Fork, Past, Seen, State, Turned, Word,
+    step,
 };
 use leverpoint_signing::{Key, Keys};
 use proptest::prelude::*;
@@ -37,14 +38,14 @@
 }
 
 fn cursor() -> Cursor {
-    let place = b"rank:104|club:7".to_vec();
+    let resume_key = b"rank:104|club:7".to_vec();
     Cursor {
         listing: 9,
-        position: NOW - 5,
-        history: 3,
-        pages: 2,
-        ends: NOW + 600 * SECOND,
-        place,
+        latest_position: NOW - 5,
+        timeline: 3,
+        pages_delivered: 2,
+        expires_at: NOW + 600 * SECOND,
+        resume_key,
     }
 }
 
@@ -102,20 +103,23 @@
 fn a_cursor_holds_for_its_customer_set_and_query_until_its_end_under_a_held_key() {
     let whose = bearer("sapporo", 2, "standings?sort=rank");
     let text = cursor().sign(&keys(&[1]), &whose).unwrap();
-    assert_eq!(Cursor::read(&keys(&[1]), &text, &whose, NOW), Ok(cursor()));
     assert_eq!(
-        Cursor::read(&keys(&[2, 1]), &text, &whose, NOW),
+        Cursor::verify(&keys(&[1]), &text, &whose, NOW),
+        Ok(cursor())
+    );
+    assert_eq!(
+        Cursor::verify(&keys(&[2, 1]), &text, &whose, NOW),
         Ok(cursor()),
         "the key has changed since"
     );
     assert_eq!(
-        Cursor::read(&keys(&[2]), &text, &whose, NOW),
-        Err(Unread::Gone),
+        Cursor::verify(&keys(&[2]), &text, &whose, NOW),
+        Err(CursorError::Expired),
         "its key has gone"
     );
     assert_eq!(
-        Cursor::read(&keys(&[1]), &text, &whose, NOW + 600 * SECOND),
-        Err(Unread::Gone),
+        Cursor::verify(&keys(&[1]), &text, &whose, NOW + 600 * SECOND),
+        Err(CursorError::Expired),
         "too old"
     );
     for other in [
@@ -125,15 +129,15 @@
         bearer("sapporostandings", 2, "?sort=rank"),
     ] {
         assert_eq!(
-            Cursor::read(&keys(&[1]), &text, &other, NOW),
-            Err(Unread::Bad),
+            Cursor::verify(&keys(&[1]), &text, &other, NOW),
+            Err(CursorError::Invalid),
             "foreign"
         );
     }
     for at in 0..text.len() {
         let mut forged = text.clone().into_bytes();
         forged[at] = if forged[at] == b'A' { b'B' } else { b'A' };
-        let read = Cursor::read(
+        let read = Cursor::verify(
             &keys(&[1]),
             std::str::from_utf8(&forged).unwrap(),
             &whose,
@@ -142,27 +146,27 @@
         assert!(read.is_err(), "{at}");
     }
     let ahead = Cursor {
-        position: NOW + 700 * SECOND,
+        latest_position: NOW + 700 * SECOND,
         ..cursor()
     };
     let text = ahead.sign(&keys(&[1]), &whose).unwrap();
     assert_eq!(
-        Cursor::read(&keys(&[1]), &text, &whose, NOW),
-        Err(Unread::Bad),
+        Cursor::verify(&keys(&[1]), &text, &whose, NOW),
+        Err(CursorError::Invalid),
         "from the future"
     );
     let long = Cursor {
-        place: vec![7; LONGEST_PLACE],
+        resume_key: vec![7; MAX_RESUME_KEY_LENGTH],
         ..cursor()
     };
     let text = long.sign(&keys(&[1]), &whose).unwrap();
     assert_eq!(
-        (text.len(), Cursor::read(&keys(&[1]), &text, &whose, NOW)),
-        (LONGEST, Ok(long.clone()))
+        (text.len(), Cursor::verify(&keys(&[1]), &text, &whose, NOW)),
+        (MAX_CURSOR_LENGTH, Ok(long.clone()))
     );
     assert_eq!(
         Cursor {
-            place: vec![7; LONGEST_PLACE + 1],
+            resume_key: vec![7; MAX_RESUME_KEY_LENGTH + 1],
             ..long
         }
         .sign(&keys(&[1]), &whose),
@@ -173,18 +177,18 @@
 proptest! {
     #[test]
     fn no_text_is_a_cursor_but_a_signed_one(text in "[A-Za-z0-9_-]{0,900}|.{0,200}", query in ".{0,40}") {
-        prop_assert!(Cursor::read(&keys(&[1, 2]), &text, &bearer("a", 1, &query), NOW).is_err());
+        prop_assert!(Cursor::verify(&keys(&[1, 2]), &text, &bearer("a", 1, &query), NOW).is_err());
     }
 
     #[test]
     fn a_cursor_comes_back_as_it_was(
-        place in prop::collection::vec(any::<u8>(), 0..=LONGEST_PLACE),
-        listing in any::<u64>(), history in any::<u64>(), pages in any::<u32>(), query in ".{0,40}",
+        resume_key in prop::collection::vec(any::<u8>(), 0..=MAX_RESUME_KEY_LENGTH),
+        listing in any::<u64>(), timeline in any::<u64>(), pages_delivered in any::<u32>(), query in ".{0,40}",
     ) {
-        let cursor = Cursor { listing, history, pages, place, ..cursor() };
+        let cursor = Cursor { listing, timeline, pages_delivered, resume_key, ..cursor() };
         let whose = bearer("a", 1, &query);
         let text = cursor.sign(&keys(&[1]), &whose).unwrap();
-        prop_assert_eq!(Cursor::read(&keys(&[1]), &text, &whose, NOW), Ok(cursor));
+        prop_assert_eq!(Cursor::verify(&keys(&[1]), &text, &whose, NOW), Ok(cursor));
     }
 
     /// Whatever changes of primary there were, a page that may follow is from a history that kept what was shown.
@@ -271,10 +275,13 @@
     };
     let third = next(&cursor(), &word(3, NOW + 40), b"rank:205".to_vec());
     assert_eq!(
-        (third.pages, third.position, third.listing),
+        (third.pages_delivered, third.latest_position, third.listing),
         (3, NOW + 40, 9)
     );
-    assert_eq!(next(&third, &word(3, NOW), Vec::new()).position, NOW + 40);
+    assert_eq!(
+        next(&third, &word(3, NOW), Vec::new()).latest_position,
+        NOW + 40
+    );
 }
 
 #[test]
@@ -557,15 +564,15 @@
     }]);
     let cursor = Cursor {
         listing: 1,
-        position: 2_000,
-        history: 3,
-        pages: 4,
-        ends: 900_000,
-        place: b"7f3a".to_vec(),
+        latest_position: 2_000,
+        timeline: 3,
+        pages_delivered: 4,
+        expires_at: 900_000,
+        resume_key: b"7f3a".to_vec(),
     };
     let text = cursor.sign(&keys, &bearer("acme", 2, "q")).unwrap();
     assert_eq!(
-        Cursor::read(&keys, &text, &bearer("acme", 2, "q"), 1_000),
+        Cursor::verify(&keys, &text, &bearer("acme", 2, "q"), 1_000),
         Ok(cursor)
     );
     insta::assert_snapshot!(text);
