--- a/crates/pagination/src/book.rs
+++ b/crates/pagination/src/book.rs
@@ -1,15 +1,15 @@
 //! Owns the listings that a gateway has heard of, and what bounds them: how many a customer has open, how fast one is
 //! read, when one that was left goes.
 //!
-//! It must never keep a listing that nobody has asked of for longer than its time, or turn away without a time to come
-//! back that holds.
+//! It must never keep a listing that nobody has asked of for longer than its time, or turn away without a time to
+//! come back that holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Ticks;
 use crate::cursor::Cursor;
-use crate::history::Follows;
-use crate::life::{Effect, Seen, State, step};
+use crate::listing_state::{Action, ListingEvent, ListingState, step};
+use crate::timeline::Continuity;
 
 /// What bounds listings at a gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,7 +55,7 @@
 /// How a page that may be read is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    pub effect: Effect,
+    pub effect: Action,
     /// The server that gave the page before, as the module knows it.
     pub before: Option<usize>,
 }
@@ -68,7 +68,7 @@
     pub bytes: usize,
     pub last: bool,
     pub server: usize,
-    pub follows: Follows,
+    pub follows: Continuity,
     /// It was read beside what the listing itself goes on with.
     pub aside: bool,
 }
@@ -87,7 +87,7 @@
 }
 
 struct Entry {
-    state: State,
+    state: ListingState,
     customer: usize,
     /// Pages shown, as its client's cursor says.
     pages: u32,
@@ -134,31 +134,31 @@
         pages: u32,
     ) -> Result<Plan, Turned> {
         self.sweep(now);
-        let judged = self
+        let admitted = self
             .enter(now, listing, customer, pages)
             .and_then(|()| self.pace(now, listing));
-        if let Err(why) = judged {
+        if let Err(why) = admitted {
             self.counts.turned += 1;
             return Err(why);
         }
         let Some(entry) = self.entries.get_mut(&listing) else {
             return Err(Turned::Gone);
         };
-        let seen = if pages < entry.pages {
-            Seen::AskedAgain
+        let event = if pages < entry.pages {
+            ListingEvent::RequestedAgain
         } else {
-            Seen::Asked
+            ListingEvent::Requested
         };
         if pages > entry.pages {
             // Another gateway has shown pages meanwhile: what was read ahead here is no longer next.
             entry.pages = pages;
-            self.move_on(listing, Seen::Overtaken);
+            self.move_on(listing, ListingEvent::Overtaken);
         }
-        self.hear(now, listing, seen);
-        let effect = self.move_on(listing, seen);
+        self.hear(now, listing, event);
+        let effect = self.move_on(listing, event);
         let before = self.entries.get(&listing).and_then(|entry| entry.before);
         match effect {
-            Effect::SayGone => Err(Turned::Gone),
+            Action::RejectLost => Err(Turned::Gone),
             effect => Ok(Plan { effect, before }),
         }
     }
@@ -186,7 +186,11 @@
             return Err(Turned::Many(self.later(until - now)));
         }
         let entry = Entry {
-            state: if pages > 0 { State::Shown } else { State::New },
+            state: if pages > 0 {
+                ListingState::Delivered
+            } else {
+                ListingState::New
+            },
             customer,
             pages,
             spare_pages: BURST,
@@ -230,11 +234,11 @@
         span.clamp(1, self.caps.longest_come_back)
     }
 
-    fn hear(&mut self, now: Ticks, listing: u64, seen: Seen) {
+    fn hear(&mut self, now: Ticks, listing: u64, event: ListingEvent) {
         let Some(entry) = self.entries.get_mut(&listing) else {
             return;
         };
-        if seen == Seen::Asked {
+        if event == ListingEvent::Requested {
             let between = now - entry.heard;
             entry.between = if entry.in_turn <= 1 {
                 between
@@ -259,41 +263,41 @@
     }
 
     /// What has come of a page that was to be read: what becomes of it.
-    pub fn came(&mut self, now: Ticks, listing: u64, came: &Came) -> Effect {
+    pub fn came(&mut self, now: Ticks, listing: u64, came: &Came) -> Action {
         let Some(entry) = self.entries.get_mut(&listing) else {
             // Forgotten meanwhile; its client, if there is one, has the page by its cursor alone.
-            return if came.follows == Follows::Lost {
-                Effect::SayGone
+            return if came.follows == Continuity::Lost {
+                Action::RejectLost
             } else {
-                Effect::Show
+                Action::Deliver
             };
         };
-        if came.follows == Follows::Yes {
+        if came.follows == Continuity::Continues {
             entry.spare_bytes -= came.bytes as f64;
             entry.before = Some(came.server);
             self.counts.pages += 1;
         }
         let effect = match (came.follows, came.aside) {
-            (Follows::Lost, _) => self.move_on(listing, Seen::Lost),
-            (Follows::Yes, true) => Effect::Show,
+            (Continuity::Lost, _) => self.move_on(listing, ListingEvent::TimelineLost),
+            (Continuity::Continues, true) => Action::Deliver,
             // Behind is a miss, which the command goes on from; here nobody else had it either.
-            (Follows::Behind, true) => Effect::Nothing,
-            (Follows::Behind, false) => self.move_on(listing, Seen::NoPage),
-            (Follows::Yes, false) => {
-                let seen = if came.last {
-                    Seen::LastPage
+            (Continuity::Behind, true) => Action::Nothing,
+            (Continuity::Behind, false) => self.move_on(listing, ListingEvent::ReadFailed),
+            (Continuity::Continues, false) => {
+                let event = if came.last {
+                    ListingEvent::LastPageRead
                 } else {
-                    Seen::Page
+                    ListingEvent::PageRead
                 };
-                self.move_on(listing, seen)
+                self.move_on(listing, event)
             }
         };
         let Some(entry) = self.entries.get_mut(&listing) else {
             return effect;
         };
         match effect {
-            Effect::Show if !came.aside => entry.pages = entry.pages.max(came.pages),
-            Effect::Keep => {
+            Action::Deliver if !came.aside => entry.pages = entry.pages.max(came.pages),
+            Action::KeepPrefetched => {
                 entry.kept = came.bytes;
                 self.kept += came.bytes;
                 self.counts.ahead += 1;
@@ -306,13 +310,13 @@
     }
 
     /// Its page was not to be had.
-    pub fn no_page(&mut self, listing: u64) -> Effect {
-        self.move_on(listing, Seen::NoPage)
+    pub fn no_page(&mut self, listing: u64) -> Action {
+        self.move_on(listing, ListingEvent::ReadFailed)
     }
 
     /// The client has gone while its page was read.
-    pub fn hung_up(&mut self, listing: u64) -> Effect {
-        self.move_on(listing, Seen::HungUp)
+    pub fn hung_up(&mut self, listing: u64) -> Action {
+        self.move_on(listing, ListingEvent::ClientDisconnected)
     }
 
     /// Whether the next page of a listing is read ahead, from the server that gave the one before.
@@ -325,30 +329,30 @@
         replica: bool,
         short_waits: bool,
         usual_page: usize,
-    ) -> Effect {
+    ) -> Action {
         let Some(entry) = self.entries.get(&listing) else {
-            return Effect::Nothing;
+            return Action::Nothing;
         };
         let habit = entry.in_turn >= HABIT && entry.between * 2 < self.caps.quiet;
         let room = self.kept + usual_page <= self.caps.ahead;
         let pays = entry.spare_pages >= 1.0 && entry.spare_bytes >= usual_page as f64;
         if !(replica && habit && room && pays) || short_waits {
-            return Effect::Nothing;
+            return Action::Nothing;
         }
-        self.move_on(listing, Seen::Spare)
+        self.move_on(listing, ListingEvent::PrefetchAllowed)
     }
 
-    fn move_on(&mut self, listing: u64, seen: Seen) -> Effect {
+    fn move_on(&mut self, listing: u64, event: ListingEvent) -> Action {
         let Some(entry) = self.entries.get_mut(&listing) else {
-            return Effect::Nothing;
+            return Action::Nothing;
         };
         let (before, kept) = (entry.state, entry.kept);
-        let (state, effect) = step(entry.state, seen);
+        let (state, effect) = step(entry.state, event);
         entry.state = state;
-        if before == State::Ready && state != State::Ready {
+        if before == ListingState::Prefetched && state != ListingState::Prefetched {
             self.kept -= kept;
             entry.kept = 0;
-            let shown = effect == Effect::ShowKept;
+            let shown = effect == Action::DeliverPrefetched;
             *(if shown {
                 &mut self.counts.ahead_shown
             } else {
@@ -357,8 +361,8 @@
             entry.pages += u32::from(shown);
         }
         match effect {
-            Effect::SayGone => self.counts.gone += 1,
-            Effect::Forget => self.forget(listing),
+            Action::RejectLost => self.counts.gone += 1,
+            Action::Remove => self.forget(listing),
             _ => {}
         }
         effect
@@ -384,7 +388,7 @@
         while let Some(&(at, listing)) = self.heard.first()
             && now - at >= self.caps.quiet
         {
-            if self.move_on(listing, Seen::Quiet) == Effect::Nothing {
+            if self.move_on(listing, ListingEvent::IdleTimeout) == Action::Nothing {
                 // A page is being read for its client: it is there.
                 self.touch(now, listing);
                 continue;
@@ -395,7 +399,7 @@
         left
     }
 
-    pub fn state(&self, listing: u64) -> Option<State> {
+    pub fn state(&self, listing: u64) -> Option<ListingState> {
         self.entries.get(&listing).map(|entry| entry.state)
     }
 
@@ -406,10 +410,10 @@
 }
 
 /// The cursor to go on with behind a page that was read in that word.
-pub fn next(cursor: &Cursor, word: &crate::Word, place: Vec<u8>) -> Cursor {
+pub fn next(cursor: &Cursor, report: &crate::ServerReport, place: Vec<u8>) -> Cursor {
     Cursor {
-        latest_position: cursor.latest_position.max(word.position),
-        timeline: word.history,
+        latest_position: cursor.latest_position.max(report.position),
+        timeline: report.timeline,
         pages_delivered: cursor.pages_delivered.saturating_add(1),
         resume_key: place,
         ..cursor.clone()
--- a/crates/pagination/src/crowd.rs
+++ b/crates/pagination/src/crowd.rs
@@ -1,8 +1,8 @@
 //! Owns how many pages are out at a set at once, beside the short commands that it answers.
 //!
-//! A page is long work of little benefit: a crowd of listings at a round's close would stand before every report. What
-//! says how many a set bears is how its short commands fare. It must never turn a page away without a time to come back
-//! at which there is a turn for it, nor hold one back while nothing else is there.
+//! A page is long work of little benefit: a crowd of listings at a round's close would stand before every report.
+//! What says how many a set bears is how its short commands fare. It must never turn a page away without a time to
+//! come back at which there is a turn for it, nor hold one back while nothing else is there.
 
 use crate::Ticks;
 
--- a/crates/pagination/tests/listing.rs
+++ b/crates/pagination/tests/listing.rs
@@ -3,10 +3,10 @@
 use fastrand::Rng;
 use leverpoint_pagination::book::{Came, next};
 use leverpoint_pagination::cursor::{MAX_CURSOR_LENGTH, MAX_RESUME_KEY_LENGTH, bearer};
-use leverpoint_pagination::history::judge;
+use leverpoint_pagination::timeline::check_continuity;
 use leverpoint_pagination::{
-    Book, Caps, Crowd, Cursor, CursorError, Effect, Follows, Fork, Past, Seen, State, Turned, Word,
-    step,
+    Action, Book, Caps, Continuity, Crowd, Cursor, CursorError, ListingEvent, ListingState,
+    ServerReport, TimelineFork, TimelineHistory, Turned, step,
 };
 use leverpoint_signing::{Key, Keys};
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
     }
 }
 
-fn came(pages: u32, follows: Follows) -> Came {
+fn came(pages: u32, follows: Continuity) -> Came {
     Came {
         pages,
         bytes: 10_000,
@@ -63,37 +63,37 @@
 #[test]
 fn the_table_of_a_listing() {
     let states = [
-        State::New,
-        State::Reading,
-        State::Shown,
-        State::Ahead,
-        State::Ready,
-        State::Finished,
-        State::Cut,
+        ListingState::New,
+        ListingState::Reading,
+        ListingState::Delivered,
+        ListingState::Prefetching,
+        ListingState::Prefetched,
+        ListingState::Finished,
+        ListingState::Lost,
     ];
-    let seen = [
-        Seen::Asked,
-        Seen::AskedAgain,
-        Seen::Overtaken,
-        Seen::Spare,
-        Seen::Page,
-        Seen::LastPage,
-        Seen::Lost,
-        Seen::NoPage,
-        Seen::HungUp,
-        Seen::Quiet,
+    let events = [
+        ListingEvent::Requested,
+        ListingEvent::RequestedAgain,
+        ListingEvent::Overtaken,
+        ListingEvent::PrefetchAllowed,
+        ListingEvent::PageRead,
+        ListingEvent::LastPageRead,
+        ListingEvent::TimelineLost,
+        ListingEvent::ReadFailed,
+        ListingEvent::ClientDisconnected,
+        ListingEvent::IdleTimeout,
     ];
     let mut out = String::new();
     for state in states {
-        for seen in seen {
-            let (next, effect) = step(state, seen);
-            if (next, effect) != (state, Effect::Nothing) {
-                out += &format!("{state:?}, {seen:?}: {next:?}, {effect:?}\n");
+        for event in events {
+            let (next, action) = step(state, event);
+            if (next, action) != (state, Action::Nothing) {
+                out += &format!("{state:?}, {event:?}: {next:?}, {action:?}\n");
             }
             // A page is shown only where one is being read or kept, and never from a history that is lost.
-            let shows = matches!(effect, Effect::Show | Effect::ShowKept);
-            assert!(!shows || matches!(state, State::Reading | State::Ready));
-            assert!(state != State::Cut || next == State::Cut);
+            let delivers = matches!(action, Action::Deliver | Action::DeliverPrefetched);
+            assert!(!delivers || matches!(state, ListingState::Reading | ListingState::Prefetched));
+            assert!(state != ListingState::Lost || next == ListingState::Lost);
         }
     }
     insta::assert_snapshot!(out);
@@ -201,65 +201,77 @@
         let kept: Vec<i64> = lengths.iter().map(|(more, lost)| { end += more; end - lost.min(more) }).collect();
         let kept: Vec<i64> = kept.iter().scan(0, |most, &k| { *most = k.max(*most); Some(*most) }).collect();
         let (from, to) = (from % (kept.len() + 1), to % (kept.len() + 1));
-        let forks = (0..to).rev().map(|n| Fork { left: n as u64, at: kept[n] }).collect();
-        let word = Word { history: to as u64, past: Past::new(forks).unwrap(), position: far };
+        let forks = (0..to).rev().map(|n| TimelineFork { parent: n as u64, position: kept[n] }).collect();
+        let report = ServerReport { timeline: to as u64, timeline_history: TimelineHistory::new(forks).unwrap(), position: far };
         let survives = from <= to && (from..to).all(|n| at <= kept[n]);
-        match judge(from as u64, at, &word) {
-            Follows::Yes => prop_assert!(survives && far >= at),
-            Follows::Behind => prop_assert!(from > to || (survives && far < at)),
+        match check_continuity(from as u64, at, &report) {
+            Continuity::Continues => prop_assert!(survives && far >= at),
+            Continuity::Behind => prop_assert!(from > to || (survives && far < at)),
             // One that is further off than the past reaches counts as lost.
-            Follows::Lost => prop_assert!(from < to && (!survives || to - from > 16)),
+            Continuity::Lost => prop_assert!(from < to && (!survives || to - from > 16)),
         }
     }
 }
 
 #[test]
 fn a_listing_ends_where_a_new_primary_never_had_what_it_has_shown() {
-    let past = Past::new(vec![
-        Fork {
-            left: 3,
-            at: NOW - 10,
+    let timeline_history = TimelineHistory::new(vec![
+        TimelineFork {
+            parent: 3,
+            position: NOW - 10,
         },
-        Fork {
-            left: 2,
-            at: NOW - 900,
+        TimelineFork {
+            parent: 2,
+            position: NOW - 900,
         },
     ])
     .unwrap();
-    let word = |history, position| Word {
-        history,
-        past: past.clone(),
+    let report = |timeline, position| ServerReport {
+        timeline,
+        timeline_history: timeline_history.clone(),
         position,
     };
     let mut out = String::new();
-    for (what, of, at, word) in [
-        ("the same history, further on", 4, NOW, word(4, NOW + 5)),
-        ("the same history, behind", 4, NOW, word(4, NOW - 5)),
+    for (what, timeline, position, report) in [
+        ("the same history, further on", 4, NOW, report(4, NOW + 5)),
+        ("the same history, behind", 4, NOW, report(4, NOW - 5)),
         (
             "page three is from before the change",
             3,
             NOW - 10,
-            word(4, NOW),
+            report(4, NOW),
         ),
         (
             "page three is from what the old primary had alone",
             3,
             NOW - 9,
-            word(4, NOW),
+            report(4, NOW),
         ),
         (
             "a primary that does not know that it was deposed",
             4,
             NOW,
-            word(3, NOW + 50),
+            report(3, NOW + 50),
         ),
-        ("two changes ago, kept", 2, NOW - 900, word(4, NOW)),
-        ("longer ago than is known", 1, NOW - 5_000, word(4, NOW)),
+        ("two changes ago, kept", 2, NOW - 900, report(4, NOW)),
+        ("longer ago than is known", 1, NOW - 5_000, report(4, NOW)),
     ] {
-        out += &format!("{what}: {:?}\n", judge(of, at, &word));
+        out += &format!(
+            "{what}: {:?}\n",
+            check_continuity(timeline, position, &report)
+        );
     }
     assert_eq!(
-        Past::new(vec![Fork { left: 2, at: 5 }, Fork { left: 3, at: 4 }]),
+        TimelineHistory::new(vec![
+            TimelineFork {
+                parent: 2,
+                position: 5
+            },
+            TimelineFork {
+                parent: 3,
+                position: 4
+            }
+        ]),
         None,
         "no order"
     );
@@ -268,18 +280,18 @@
 
 #[test]
 fn a_cursor_that_goes_on_never_goes_back() {
-    let word = |history, position| Word {
-        history,
-        past: Past::default(),
+    let report = |timeline, position| ServerReport {
+        timeline,
+        timeline_history: TimelineHistory::default(),
         position,
     };
-    let third = next(&cursor(), &word(3, NOW + 40), b"rank:205".to_vec());
+    let third = next(&cursor(), &report(3, NOW + 40), b"rank:205".to_vec());
     assert_eq!(
         (third.pages_delivered, third.latest_position, third.listing),
         (3, NOW + 40, 9)
     );
     assert_eq!(
-        next(&third, &word(3, NOW), Vec::new()).latest_position,
+        next(&third, &report(3, NOW), Vec::new()).latest_position,
         NOW + 40
     );
 }
@@ -291,9 +303,12 @@
     while now < NOW + 60 * SECOND {
         match book.asks(now, 1, 0, shown) {
             Ok(plan) => {
-                assert_eq!(plan.effect, Effect::Read);
+                assert_eq!(plan.effect, Action::Read);
                 shown += 1;
-                assert_eq!(book.came(now, 1, &came(shown, Follows::Yes)), Effect::Show);
+                assert_eq!(
+                    book.came(now, 1, &came(shown, Continuity::Continues)),
+                    Action::Deliver
+                );
             }
             Err(Turned::Fast(later)) => {
                 turned += 1;
@@ -311,7 +326,7 @@
     assert!(book.asks(now + SECOND, 1, 0, shown).is_ok());
     let long = Came {
         bytes: 500_000,
-        ..came(shown + 1, Follows::Yes)
+        ..came(shown + 1, Continuity::Continues)
     };
     book.came(now + SECOND, 1, &long);
     assert!(
@@ -324,7 +339,11 @@
     let mut book = Book::new(CAPS);
     for listing in 0..3 {
         assert!(book.asks(NOW + listing, listing as u64, 0, 0).is_ok());
-        book.came(NOW + listing, listing as u64, &came(1, Follows::Yes));
+        book.came(
+            NOW + listing,
+            listing as u64,
+            &came(1, Continuity::Continues),
+        );
     }
     assert_eq!(
         book.asks(NOW + SECOND, 7, 0, 0),
@@ -334,17 +353,17 @@
         book.asks(NOW + SECOND, 8, 1, 0).is_ok(),
         "another customer's"
     );
-    assert_eq!(book.hung_up(8), Effect::Drop);
+    assert_eq!(book.hung_up(8), Action::Discard);
     // The first is gone after half a minute of quiet, and the one turned away is let in when it was told.
     assert!(book.asks(NOW + 30 * SECOND, 7, 0, 0).is_ok());
-    book.came(NOW + 30 * SECOND, 7, &came(1, Follows::Yes));
+    book.came(NOW + 30 * SECOND, 7, &came(1, Continuity::Continues));
     assert_eq!(book.state(0), None);
     // A cursor of it goes on all the same.
     assert!(
         book.asks(NOW + 31 * SECOND, 0, 0, 1)
-            .is_ok_and(|plan| plan.effect == Effect::Read)
+            .is_ok_and(|plan| plan.effect == Action::Read)
     );
-    assert_eq!(book.hung_up(0), Effect::Drop);
+    assert_eq!(book.hung_up(0), Action::Discard);
     let mut left = book.sweep(NOW + 62 * SECOND);
     left.sort_unstable();
     assert_eq!((left, book.holds()), (vec![0, 7], (0, 0)));
@@ -356,7 +375,7 @@
     assert!(book.asks(NOW, 1, 0, 0).is_ok());
     assert_eq!(
         book.asks(NOW, 1, 0, 0).map(|plan| plan.effect),
-        Ok(Effect::ReadAside),
+        Ok(Action::Reread),
         "both ask for page one"
     );
     assert_eq!(
@@ -365,21 +384,27 @@
             1,
             &Came {
                 aside: true,
-                ..came(1, Follows::Yes)
+                ..came(1, Continuity::Continues)
             }
         ),
-        Effect::Show
+        Action::Deliver
+    );
+    assert_eq!(
+        book.came(NOW, 1, &came(1, Continuity::Continues)),
+        Action::Deliver
     );
-    assert_eq!(book.came(NOW, 1, &came(1, Follows::Yes)), Effect::Show);
     // Page one again, as its answer was lost on the way; then page five, as others were shown elsewhere.
     assert_eq!(
         book.asks(NOW, 1, 0, 0).map(|plan| plan.effect),
-        Ok(Effect::ReadAside)
+        Ok(Action::Reread)
     );
     let plan = book.asks(NOW + SECOND, 1, 0, 4).unwrap();
-    assert_eq!((plan.effect, plan.before), (Effect::Read, Some(4)));
+    assert_eq!((plan.effect, plan.before), (Action::Read, Some(4)));
     // A history that lost page four ends it for whoever holds a cursor of it.
-    assert_eq!(book.came(NOW, 1, &came(5, Follows::Lost)), Effect::SayGone);
+    assert_eq!(
+        book.came(NOW, 1, &came(5, Continuity::Lost)),
+        Action::RejectLost
+    );
     assert_eq!(book.asks(NOW + 2 * SECOND, 1, 0, 4), Err(Turned::Gone));
 }
 
@@ -392,47 +417,51 @@
     });
     for page in 0..3 {
         assert!(
-            page > 1 || book.spare(1, true, false, 10_000) == Effect::Nothing,
+            page > 1 || book.spare(1, true, false, 10_000) == Action::Nothing,
             "no habit yet"
         );
         assert_eq!(
             book.asks(NOW + page * SECOND, 1, 0, page as u32)
                 .unwrap()
                 .effect,
-            Effect::Read
+            Action::Read
+        );
+        book.came(
+            NOW + page * SECOND,
+            1,
+            &came(page as u32 + 1, Continuity::Continues),
         );
-        book.came(NOW + page * SECOND, 1, &came(page as u32 + 1, Follows::Yes));
     }
     assert_eq!(
         book.spare(1, false, false, 10_000),
-        Effect::Nothing,
+        Action::Nothing,
         "the primary is not spared by it"
     );
     assert_eq!(
         book.spare(1, true, true, 10_000),
-        Effect::Nothing,
+        Action::Nothing,
         "short commands wait"
     );
     assert_eq!(
         book.spare(1, true, false, 60_000),
-        Effect::Nothing,
+        Action::Nothing,
         "no room"
     );
-    assert_eq!(book.spare(1, true, false, 10_000), Effect::Read);
+    assert_eq!(book.spare(1, true, false, 10_000), Action::Read);
     assert_eq!(
-        book.came(NOW + 2 * SECOND, 1, &came(4, Follows::Yes)),
-        Effect::Keep
+        book.came(NOW + 2 * SECOND, 1, &came(4, Continuity::Continues)),
+        Action::KeepPrefetched
     );
     assert_eq!(book.holds(), (1, 10_000));
     assert_eq!(
         book.asks(NOW + 3 * SECOND, 1, 0, 3).unwrap().effect,
-        Effect::ShowKept
+        Action::DeliverPrefetched
     );
     assert_eq!((book.holds(), book.counts.ahead_shown), ((1, 0), 1));
-    assert_eq!(book.spare(1, true, false, 10_000), Effect::Read);
+    assert_eq!(book.spare(1, true, false, 10_000), Action::Read);
     assert_eq!(
-        book.came(NOW + 3 * SECOND, 1, &came(5, Follows::Yes)),
-        Effect::Keep
+        book.came(NOW + 3 * SECOND, 1, &came(5, Continuity::Continues)),
+        Action::KeepPrefetched
     );
     assert_eq!(book.sweep(NOW + 40 * SECOND), [1]);
     assert_eq!((book.holds(), book.counts.ahead_vain), ((0, 0), 1));
@@ -451,10 +480,10 @@
                 0..=2 => match book.asks(now, listing, (listing % 3) as usize, pages) {
                     Ok(plan) => {
                         let reads = [
-                            Effect::Read,
-                            Effect::ReadAside,
-                            Effect::ShowKept,
-                            Effect::Nothing,
+                            Action::Read,
+                            Action::Reread,
+                            Action::DeliverPrefetched,
+                            Action::Nothing,
                         ];
                         assert!(
                             reads.contains(&plan.effect),
@@ -469,7 +498,12 @@
                     Err(Turned::Gone) => continue,
                 },
                 3 | 4 if reads.get(&listing).is_some_and(|n| *n > 0) => {
-                    let follows = [Follows::Yes, Follows::Yes, Follows::Behind, Follows::Lost];
+                    let follows = [
+                        Continuity::Continues,
+                        Continuity::Continues,
+                        Continuity::Behind,
+                        Continuity::Lost,
+                    ];
                     let last = chance.u8(0..4) == 0;
                     let one = Came {
                         last,
@@ -477,16 +511,18 @@
                     };
                     let effect = book.came(now, listing, &one);
                     let left = reads.entry(listing).or_default();
-                    assert!(!matches!(effect, Effect::Show | Effect::Keep) || *left > 0);
+                    assert!(
+                        !matches!(effect, Action::Deliver | Action::KeepPrefetched) || *left > 0
+                    );
                     *left = left.saturating_sub(1);
                     effect
                 }
                 5 => book.hung_up(listing),
                 6 => book.no_page(listing),
                 7 => book.spare(listing, true, false, 10_000),
-                _ => Effect::Nothing,
+                _ => Action::Nothing,
             };
-            *reads.entry(listing).or_default() += u32::from(effect == Effect::Read);
+            *reads.entry(listing).or_default() += u32::from(effect == Action::Read);
             let (listings, kept) = book.holds();
             assert!(
                 listings <= CAPS.listings && kept <= CAPS.ahead + 10_000,
@@ -496,7 +532,7 @@
         book.sweep(now + CAPS.quiet);
         book.sweep(now + 2 * CAPS.quiet);
         let reading = (0..12)
-            .filter(|l| book.state(*l) == Some(State::Reading))
+            .filter(|l| book.state(*l) == Some(ListingState::Reading))
             .count();
         assert_eq!(
             book.holds(),
