--- a/crates/pagination/src/lib.rs
+++ b/crates/pagination/src/lib.rs
@@ -1,26 +1,29 @@
-//! Decides the life of a listing: what its next page must see, whether a page that has come may be shown, when it
-//! ends, and how much of it a gateway takes on.
+//! Listings that clients read page by page: which replication position the next page must see, whether a page read
+//! may be delivered, when a listing ends, and how many listings a gateway serves.
 //!
-//! What a listing has seen travels in its cursor, so any gateway goes on with it, restarted or not; what a gateway
-//! remembers of it is only what bounds its use here. Which server is asked stays with the decision module: it is told
-//! the position that the page must see, and which server had the page before. No I/O and no clock: each call brings
-//! the time in whole ticks of 100 µs.
+//! What a listing has shown is recorded in its cursor, which the client presents for the next page. Any gateway can
+//! therefore continue it, also after a restart; a gateway's own state of a listing serves only to enforce its limits
+//! and to prefetch pages.
 //!
-//! - [`cursor`]: what a client carries from one page to the next
+//! The server for a page is chosen by the routing module, from the position that the page must see and the server
+//! that the previous page was read from. This crate does no I/O and reads no clock: each call gets the time in whole
+//! ticks of 100 µs.
+//!
+//! - [`cursor`]: the signed cursor that a client carries from page to page
 //! - [`timeline`]: whether a page is consistent with the pages delivered before it, across failovers
 //! - [`listing_state`]: the states of a listing and their transitions
-//! - [`book`]: the listings of a gateway, their limits, when one that is abandoned goes
-//! - [`crowd`]: how many pages are out at once beside short commands
+//! - [`listing_table`]: the listings of a gateway, their limits and the removal of idle ones
+//! - [`page_limiter`]: the limit of pages read concurrently beside short requests
 
-pub mod book;
-pub mod crowd;
 pub mod cursor;
 pub mod listing_state;
+pub mod listing_table;
+pub mod page_limiter;
 pub mod timeline;
 
-pub use book::{Book, Caps, Counts, Turned};
-pub use crowd::Crowd;
 pub use cursor::{Cursor, CursorError};
 pub use leverpoint_routing::api::Ticks;
 pub use listing_state::{Action, ListingEvent, ListingState, step};
+pub use listing_table::{ListingCounts, ListingLimits, ListingTable, PageRejection};
+pub use page_limiter::PageLimiter;
 pub use timeline::{Continuity, ServerReport, TimelineFork, TimelineHistory};
--- a/crates/pagination/tests/listing.rs
+++ b/crates/pagination/tests/listing.rs
@@ -1,12 +1,12 @@
-//! Courses of listings: what a cursor proves, which page may follow, what is turned away and when it may come again.
+//! Tests of listings: the validity of cursors, the continuity of pages across failovers, limits and retry times.
 
 use fastrand::Rng;
-use leverpoint_pagination::book::{Came, next};
 use leverpoint_pagination::cursor::{MAX_CURSOR_LENGTH, MAX_RESUME_KEY_LENGTH, bearer};
+use leverpoint_pagination::listing_table::{PageResult, next_cursor};
 use leverpoint_pagination::timeline::check_continuity;
 use leverpoint_pagination::{
-    Action, Book, Caps, Continuity, Crowd, Cursor, CursorError, ListingEvent, ListingState,
-    ServerReport, TimelineFork, TimelineHistory, Turned, step,
+    Action, Continuity, Cursor, CursorError, ListingEvent, ListingLimits, ListingState,
+    ListingTable, PageLimiter, PageRejection, ServerReport, TimelineFork, TimelineHistory, step,
 };
 use leverpoint_signing::{Key, Keys};
 use proptest::prelude::*;
@@ -15,17 +15,17 @@
 const SECOND: i64 = 10_000;
 const NOW: i64 = 1_000_000 * MS;
 
-const CAPS: Caps = Caps {
-    listings: 8,
-    a_customer: 3,
-    pages_a_second: 2.0,
-    bytes_a_second: 100_000.0,
-    quiet: 30 * SECOND,
-    ahead: 50_000,
-    longest_come_back: 60 * SECOND,
+const LIMITS: ListingLimits = ListingLimits {
+    max_listings: 8,
+    max_listings_per_tenant: 3,
+    pages_per_second: 2.0,
+    bytes_per_second: 100_000.0,
+    idle_timeout: 30 * SECOND,
+    max_prefetched_bytes: 50_000,
+    max_retry_after: 60 * SECOND,
 };
 
-fn keys(numbers: &[u8]) -> Keys {
+fn test_keys(numbers: &[u8]) -> Keys {
     Keys::new(
         numbers
             .iter()
@@ -37,7 +37,7 @@
     )
 }
 
-fn cursor() -> Cursor {
+fn sample_cursor() -> Cursor {
     let resume_key = b"rank:104|club:7".to_vec();
     Cursor {
         listing: 9,
@@ -49,19 +49,19 @@
     }
 }
 
-fn came(pages: u32, follows: Continuity) -> Came {
-    Came {
+fn page_result(pages: u32, continuity: Continuity) -> PageResult {
+    PageResult {
         pages,
         bytes: 10_000,
-        last: false,
+        is_last: false,
         server: 4,
-        follows,
-        aside: false,
+        continuity,
+        is_reread: false,
     }
 }
 
 #[test]
-fn the_table_of_a_listing() {
+fn transitions_deliver_only_pages_read_and_never_leave_lost() {
     let states = [
         ListingState::New,
         ListingState::Reading,
@@ -90,7 +90,7 @@
             if (next, action) != (state, Action::Nothing) {
                 out += &format!("{state:?}, {event:?}: {next:?}, {action:?}\n");
             }
-            // A page is shown only where one is being read or kept, and never from a history that is lost.
+            // A page is delivered only if one is being read or is prefetched, and never after the timeline is lost.
             let delivers = matches!(action, Action::Deliver | Action::DeliverPrefetched);
             assert!(!delivers || matches!(state, ListingState::Reading | ListingState::Prefetched));
             assert!(state != ListingState::Lost || next == ListingState::Lost);
@@ -100,27 +100,29 @@
 }
 
 #[test]
-fn a_cursor_holds_for_its_customer_set_and_query_until_its_end_under_a_held_key() {
-    let whose = bearer("sapporo", 2, "standings?sort=rank");
-    let text = cursor().sign(&keys(&[1]), &whose).unwrap();
+fn cursors_verify_only_for_their_bearer_until_they_expire_or_their_key_is_removed() {
+    let bearer_bytes = bearer("sapporo", 2, "standings?sort=rank");
+    let text = sample_cursor()
+        .sign(&test_keys(&[1]), &bearer_bytes)
+        .unwrap();
     assert_eq!(
-        Cursor::verify(&keys(&[1]), &text, &whose, NOW),
-        Ok(cursor())
+        Cursor::verify(&test_keys(&[1]), &text, &bearer_bytes, NOW),
+        Ok(sample_cursor())
     );
     assert_eq!(
-        Cursor::verify(&keys(&[2, 1]), &text, &whose, NOW),
-        Ok(cursor()),
-        "the key has changed since"
+        Cursor::verify(&test_keys(&[2, 1]), &text, &bearer_bytes, NOW),
+        Ok(sample_cursor()),
+        "signed by the previous key"
     );
     assert_eq!(
-        Cursor::verify(&keys(&[2]), &text, &whose, NOW),
+        Cursor::verify(&test_keys(&[2]), &text, &bearer_bytes, NOW),
         Err(CursorError::Expired),
-        "its key has gone"
+        "signed by a removed key"
     );
     assert_eq!(
-        Cursor::verify(&keys(&[1]), &text, &whose, NOW + 600 * SECOND),
+        Cursor::verify(&test_keys(&[1]), &text, &bearer_bytes, NOW + 600 * SECOND),
         Err(CursorError::Expired),
-        "too old"
+        "expired"
     );
     for other in [
         bearer("kushiro", 2, "standings?sort=rank"),
@@ -129,39 +131,42 @@
         bearer("sapporostandings", 2, "?sort=rank"),
     ] {
         assert_eq!(
-            Cursor::verify(&keys(&[1]), &text, &other, NOW),
+            Cursor::verify(&test_keys(&[1]), &text, &other, NOW),
             Err(CursorError::Invalid),
-            "foreign"
+            "another bearer"
         );
     }
     for at in 0..text.len() {
         let mut forged = text.clone().into_bytes();
         forged[at] = if forged[at] == b'A' { b'B' } else { b'A' };
         let read = Cursor::verify(
-            &keys(&[1]),
+            &test_keys(&[1]),
             std::str::from_utf8(&forged).unwrap(),
-            &whose,
+            &bearer_bytes,
             NOW,
         );
         assert!(read.is_err(), "{at}");
     }
     let ahead = Cursor {
         latest_position: NOW + 700 * SECOND,
-        ..cursor()
+        ..sample_cursor()
     };
-    let text = ahead.sign(&keys(&[1]), &whose).unwrap();
+    let text = ahead.sign(&test_keys(&[1]), &bearer_bytes).unwrap();
     assert_eq!(
-        Cursor::verify(&keys(&[1]), &text, &whose, NOW),
+        Cursor::verify(&test_keys(&[1]), &text, &bearer_bytes, NOW),
         Err(CursorError::Invalid),
-        "from the future"
+        "position ahead of the clock"
     );
     let long = Cursor {
         resume_key: vec![7; MAX_RESUME_KEY_LENGTH],
-        ..cursor()
+        ..sample_cursor()
     };
-    let text = long.sign(&keys(&[1]), &whose).unwrap();
+    let text = long.sign(&test_keys(&[1]), &bearer_bytes).unwrap();
     assert_eq!(
-        (text.len(), Cursor::verify(&keys(&[1]), &text, &whose, NOW)),
+        (
+            text.len(),
+            Cursor::verify(&test_keys(&[1]), &text, &bearer_bytes, NOW)
+        ),
         (MAX_CURSOR_LENGTH, Ok(long.clone()))
     );
     assert_eq!(
@@ -169,52 +174,60 @@
             resume_key: vec![7; MAX_RESUME_KEY_LENGTH + 1],
             ..long
         }
-        .sign(&keys(&[1]), &whose),
+        .sign(&test_keys(&[1]), &bearer_bytes),
         None
     );
 }
 
 proptest! {
     #[test]
-    fn no_text_is_a_cursor_but_a_signed_one(text in "[A-Za-z0-9_-]{0,900}|.{0,200}", query in ".{0,40}") {
-        prop_assert!(Cursor::verify(&keys(&[1, 2]), &text, &bearer("a", 1, &query), NOW).is_err());
+    fn text_that_is_not_signed_is_never_a_valid_cursor(text in "[A-Za-z0-9_-]{0,900}|.{0,200}", query in ".{0,40}") {
+        prop_assert!(Cursor::verify(&test_keys(&[1, 2]), &text, &bearer("a", 1, &query), NOW).is_err());
     }
 
     #[test]
-    fn a_cursor_comes_back_as_it_was(
+    fn signed_cursors_are_read_back_unchanged(
         resume_key in prop::collection::vec(any::<u8>(), 0..=MAX_RESUME_KEY_LENGTH),
         listing in any::<u64>(), timeline in any::<u64>(), pages_delivered in any::<u32>(), query in ".{0,40}",
     ) {
-        let cursor = Cursor { listing, timeline, pages_delivered, resume_key, ..cursor() };
-        let whose = bearer("a", 1, &query);
-        let text = cursor.sign(&keys(&[1]), &whose).unwrap();
-        prop_assert_eq!(Cursor::verify(&keys(&[1]), &text, &whose, NOW), Ok(cursor));
+        let cursor = Cursor { listing, timeline, pages_delivered, resume_key, ..sample_cursor() };
+        let bearer_bytes = bearer("a", 1, &query);
+        let text = cursor.sign(&test_keys(&[1]), &bearer_bytes).unwrap();
+        prop_assert_eq!(Cursor::verify(&test_keys(&[1]), &text, &bearer_bytes, NOW), Ok(cursor));
     }
 
-    /// Whatever changes of primary there were, a page that may follow is from a history that kept what was shown.
+    /// After any sequence of failovers, a page may be delivered only from a timeline that kept the writes shown
+    /// before.
     #[test]
-    fn no_page_follows_from_a_history_that_lost_what_was_shown(
-        lengths in prop::collection::vec((1i64..100, 0i64..60), 1..20), from in 0usize..20, at in 0i64..2_000, to in 0usize..20, far in 0i64..2_000,
+    fn pages_continue_only_on_timelines_that_kept_what_was_delivered(
+        lengths in prop::collection::vec((1i64..100, 0i64..60), 1..20),
+        from in 0usize..20, position in 0i64..2_000, to in 0usize..20, reported in 0i64..2_000,
     ) {
-        // History n+1 leaves history n at `kept[n]`; what n had beyond that is lost.
+        // Timeline n + 1 forks from timeline n at `fork_positions[n]`; what n had written beyond that is lost.
         let mut end = 0;
-        let kept: Vec<i64> = lengths.iter().map(|(more, lost)| { end += more; end - lost.min(more) }).collect();
-        let kept: Vec<i64> = kept.iter().scan(0, |most, &k| { *most = k.max(*most); Some(*most) }).collect();
-        let (from, to) = (from % (kept.len() + 1), to % (kept.len() + 1));
-        let forks = (0..to).rev().map(|n| TimelineFork { parent: n as u64, position: kept[n] }).collect();
-        let report = ServerReport { timeline: to as u64, timeline_history: TimelineHistory::new(forks).unwrap(), position: far };
-        let survives = from <= to && (from..to).all(|n| at <= kept[n]);
-        match check_continuity(from as u64, at, &report) {
-            Continuity::Continues => prop_assert!(survives && far >= at),
-            Continuity::Behind => prop_assert!(from > to || (survives && far < at)),
-            // One that is further off than the past reaches counts as lost.
-            Continuity::Lost => prop_assert!(from < to && (!survives || to - from > 16)),
+        let fork_positions: Vec<i64> =
+            lengths.iter().map(|(more, lost)| { end += more; end - lost.min(more) }).collect();
+        let fork_positions: Vec<i64> =
+            fork_positions.iter().scan(0, |highest, &k| { *highest = k.max(*highest); Some(*highest) }).collect();
+        let (from, to) = (from % (fork_positions.len() + 1), to % (fork_positions.len() + 1));
+        let forks = (0..to).rev().map(|n| TimelineFork { parent: n as u64, position: fork_positions[n] }).collect();
+        let report = ServerReport {
+            timeline: to as u64,
+            timeline_history: TimelineHistory::new(forks).unwrap(),
+            position: reported,
+        };
+        let is_kept = from <= to && (from..to).all(|n| position <= fork_positions[n]);
+        match check_continuity(from as u64, position, &report) {
+            Continuity::Continues => prop_assert!(is_kept && reported >= position),
+            Continuity::Behind => prop_assert!(from > to || (is_kept && reported < position)),
+            // A timeline older than the 16 forks kept counts as lost.
+            Continuity::Lost => prop_assert!(from < to && (!is_kept || to - from > 16)),
         }
     }
 }
 
 #[test]
-fn a_listing_ends_where_a_new_primary_never_had_what_it_has_shown() {
+fn continuity_after_a_failover_depends_on_what_the_new_primary_had_applied() {
     let timeline_history = TimelineHistory::new(vec![
         TimelineFork {
             parent: 3,
@@ -273,327 +286,355 @@
             }
         ]),
         None,
-        "no order"
+        "forks out of order"
     );
     insta::assert_snapshot!(out);
 }
 
 #[test]
-fn a_cursor_that_goes_on_never_goes_back() {
+fn next_cursors_never_lower_the_position() {
     let report = |timeline, position| ServerReport {
         timeline,
         timeline_history: TimelineHistory::default(),
         position,
     };
-    let third = next(&cursor(), &report(3, NOW + 40), b"rank:205".to_vec());
+    let third = next_cursor(&sample_cursor(), &report(3, NOW + 40), b"rank:205".to_vec());
     assert_eq!(
         (third.pages_delivered, third.latest_position, third.listing),
         (3, NOW + 40, 9)
     );
     assert_eq!(
-        next(&third, &report(3, NOW), Vec::new()).latest_position,
+        next_cursor(&third, &report(3, NOW), Vec::new()).latest_position,
         NOW + 40
     );
 }
 
 #[test]
-fn a_listing_is_read_at_its_pace_and_told_when_to_come_back() {
-    let mut book = Book::new(CAPS);
-    let (mut now, mut shown, mut turned) = (NOW, 0, 0);
+fn page_rates_are_limited_and_retries_at_the_stated_time_are_admitted() {
+    let mut table = ListingTable::new(LIMITS);
+    let (mut now, mut delivered, mut rejected) = (NOW, 0, 0);
     while now < NOW + 60 * SECOND {
-        match book.asks(now, 1, 0, shown) {
+        match table.request_page(now, 1, 0, delivered) {
             Ok(plan) => {
-                assert_eq!(plan.effect, Action::Read);
-                shown += 1;
+                assert_eq!(plan.action, Action::Read);
+                delivered += 1;
                 assert_eq!(
-                    book.came(now, 1, &came(shown, Continuity::Continues)),
+                    table.on_page_read(now, 1, &page_result(delivered, Continuity::Continues)),
                     Action::Deliver
                 );
             }
-            Err(Turned::Fast(later)) => {
-                turned += 1;
-                now += later;
+            Err(PageRejection::TooFast(retry_after)) => {
+                rejected += 1;
+                now += retry_after;
             }
             Err(other) => panic!("{other:?}"),
         }
     }
-    // Four at once, then two a second; and who comes back when told to is let in.
+    // A burst of four, then two a second. Each retry at the stated time is admitted.
     assert!(
-        (122..=124).contains(&shown) && turned <= shown,
-        "{shown} pages, {turned} turned away"
+        (122..=124).contains(&delivered) && rejected <= delivered,
+        "{delivered} pages, {rejected} rejected"
     );
-    // One of half a megabyte is made up for.
-    assert!(book.asks(now + SECOND, 1, 0, shown).is_ok());
-    let long = Came {
+    // A page of half a megabyte overdraws the byte rate.
+    assert!(table.request_page(now + SECOND, 1, 0, delivered).is_ok());
+    let long = PageResult {
         bytes: 500_000,
-        ..came(shown + 1, Continuity::Continues)
+        ..page_result(delivered + 1, Continuity::Continues)
     };
-    book.came(now + SECOND, 1, &long);
+    table.on_page_read(now + SECOND, 1, &long);
     assert!(
-        matches!(book.asks(now + SECOND, 1, 0, shown + 1), Err(Turned::Fast(at)) if at > 2 * SECOND)
+        matches!(table.request_page(now + SECOND, 1, 0, delivered + 1), Err(PageRejection::TooFast(retry_after)) if retry_after > 2 * SECOND)
     );
 }
 
 #[test]
-fn a_customer_has_so_many_open_and_an_abandoned_one_leaves_nothing() {
-    let mut book = Book::new(CAPS);
+fn open_listings_of_a_tenant_are_limited_and_idle_ones_are_removed() {
+    let mut table = ListingTable::new(LIMITS);
     for listing in 0..3 {
-        assert!(book.asks(NOW + listing, listing as u64, 0, 0).is_ok());
-        book.came(
+        assert!(
+            table
+                .request_page(NOW + listing, listing as u64, 0, 0)
+                .is_ok()
+        );
+        table.on_page_read(
             NOW + listing,
             listing as u64,
-            &came(1, Continuity::Continues),
+            &page_result(1, Continuity::Continues),
         );
     }
     assert_eq!(
-        book.asks(NOW + SECOND, 7, 0, 0),
-        Err(Turned::Many(29 * SECOND))
+        table.request_page(NOW + SECOND, 7, 0, 0),
+        Err(PageRejection::TooManyListings(29 * SECOND))
     );
     assert!(
-        book.asks(NOW + SECOND, 8, 1, 0).is_ok(),
-        "another customer's"
+        table.request_page(NOW + SECOND, 8, 1, 0).is_ok(),
+        "a listing of another tenant"
     );
-    assert_eq!(book.hung_up(8), Action::Discard);
-    // The first is gone after half a minute of quiet, and the one turned away is let in when it was told.
-    assert!(book.asks(NOW + 30 * SECOND, 7, 0, 0).is_ok());
-    book.came(NOW + 30 * SECOND, 7, &came(1, Continuity::Continues));
-    assert_eq!(book.state(0), None);
-    // A cursor of it goes on all the same.
+    assert_eq!(table.on_client_disconnected(8), Action::Discard);
+    // The first listing is removed after 30 s without a request, and the retry at the stated time is admitted.
+    assert!(table.request_page(NOW + 30 * SECOND, 7, 0, 0).is_ok());
+    table.on_page_read(NOW + 30 * SECOND, 7, &page_result(1, Continuity::Continues));
+    assert_eq!(table.state(0), None);
+    // Its cursor is still accepted.
     assert!(
-        book.asks(NOW + 31 * SECOND, 0, 0, 1)
-            .is_ok_and(|plan| plan.effect == Action::Read)
+        table
+            .request_page(NOW + 31 * SECOND, 0, 0, 1)
+            .is_ok_and(|plan| plan.action == Action::Read)
     );
-    assert_eq!(book.hung_up(0), Action::Discard);
-    let mut left = book.sweep(NOW + 62 * SECOND);
-    left.sort_unstable();
-    assert_eq!((left, book.holds()), (vec![0, 7], (0, 0)));
+    assert_eq!(table.on_client_disconnected(0), Action::Discard);
+    let mut removed = table.remove_idle(NOW + 62 * SECOND);
+    removed.sort_unstable();
+    assert_eq!((removed, table.usage()), (vec![0, 7], (0, 0)));
 }
 
 #[test]
-fn one_cursor_at_two_clients_and_pages_shown_elsewhere() {
-    let mut book = Book::new(CAPS);
-    assert!(book.asks(NOW, 1, 0, 0).is_ok());
+fn repeated_requests_reread_pages_and_pages_delivered_elsewhere_are_skipped() {
+    let mut table = ListingTable::new(LIMITS);
+    assert!(table.request_page(NOW, 1, 0, 0).is_ok());
     assert_eq!(
-        book.asks(NOW, 1, 0, 0).map(|plan| plan.effect),
+        table.request_page(NOW, 1, 0, 0).map(|plan| plan.action),
         Ok(Action::Reread),
-        "both ask for page one"
+        "both request page one"
     );
     assert_eq!(
-        book.came(
+        table.on_page_read(
             NOW,
             1,
-            &Came {
-                aside: true,
-                ..came(1, Continuity::Continues)
+            &PageResult {
+                is_reread: true,
+                ..page_result(1, Continuity::Continues)
             }
         ),
         Action::Deliver
     );
     assert_eq!(
-        book.came(NOW, 1, &came(1, Continuity::Continues)),
+        table.on_page_read(NOW, 1, &page_result(1, Continuity::Continues)),
         Action::Deliver
     );
-    // Page one again, as its answer was lost on the way; then page five, as others were shown elsewhere.
+    // Page one again, as its response was lost; then page five, as another gateway has delivered those between.
     assert_eq!(
-        book.asks(NOW, 1, 0, 0).map(|plan| plan.effect),
+        table.request_page(NOW, 1, 0, 0).map(|plan| plan.action),
         Ok(Action::Reread)
     );
-    let plan = book.asks(NOW + SECOND, 1, 0, 4).unwrap();
-    assert_eq!((plan.effect, plan.before), (Action::Read, Some(4)));
-    // A history that lost page four ends it for whoever holds a cursor of it.
+    let plan = table.request_page(NOW + SECOND, 1, 0, 4).unwrap();
+    assert_eq!((plan.action, plan.previous_server), (Action::Read, Some(4)));
+    // A timeline that lost what page four showed ends the listing for every holder of its cursor.
     assert_eq!(
-        book.came(NOW, 1, &came(5, Continuity::Lost)),
+        table.on_page_read(NOW, 1, &page_result(5, Continuity::Lost)),
         Action::RejectLost
     );
-    assert_eq!(book.asks(NOW + 2 * SECOND, 1, 0, 4), Err(Turned::Gone));
+    assert_eq!(
+        table.request_page(NOW + 2 * SECOND, 1, 0, 4),
+        Err(PageRejection::Lost)
+    );
 }
 
 #[test]
-fn a_page_is_read_ahead_by_habit_at_a_replica_and_dropped_when_its_reader_stays_away() {
-    let mut book = Book::new(Caps {
-        pages_a_second: 100.0,
-        bytes_a_second: 1e9,
-        ..CAPS
+fn pages_are_prefetched_from_replicas_for_sequential_readers_and_discarded_when_idle() {
+    let mut table = ListingTable::new(ListingLimits {
+        pages_per_second: 100.0,
+        bytes_per_second: 1e9,
+        ..LIMITS
     });
     for page in 0..3 {
         assert!(
-            page > 1 || book.spare(1, true, false, 10_000) == Action::Nothing,
-            "no habit yet"
+            page > 1 || table.try_prefetch(1, true, false, 10_000) == Action::Nothing,
+            "too few sequential requests"
         );
         assert_eq!(
-            book.asks(NOW + page * SECOND, 1, 0, page as u32)
+            table
+                .request_page(NOW + page * SECOND, 1, 0, page as u32)
                 .unwrap()
-                .effect,
+                .action,
             Action::Read
         );
-        book.came(
+        table.on_page_read(
             NOW + page * SECOND,
             1,
-            &came(page as u32 + 1, Continuity::Continues),
+            &page_result(page as u32 + 1, Continuity::Continues),
         );
     }
     assert_eq!(
-        book.spare(1, false, false, 10_000),
+        table.try_prefetch(1, false, false, 10_000),
         Action::Nothing,
-        "the primary is not spared by it"
+        "saves the primary no read"
     );
     assert_eq!(
-        book.spare(1, true, true, 10_000),
+        table.try_prefetch(1, true, true, 10_000),
         Action::Nothing,
-        "short commands wait"
+        "short requests wait"
     );
     assert_eq!(
-        book.spare(1, true, false, 60_000),
+        table.try_prefetch(1, true, false, 60_000),
         Action::Nothing,
-        "no room"
+        "prefetch limit"
     );
-    assert_eq!(book.spare(1, true, false, 10_000), Action::Read);
+    assert_eq!(table.try_prefetch(1, true, false, 10_000), Action::Read);
     assert_eq!(
-        book.came(NOW + 2 * SECOND, 1, &came(4, Continuity::Continues)),
+        table.on_page_read(NOW + 2 * SECOND, 1, &page_result(4, Continuity::Continues)),
         Action::KeepPrefetched
     );
-    assert_eq!(book.holds(), (1, 10_000));
+    assert_eq!(table.usage(), (1, 10_000));
     assert_eq!(
-        book.asks(NOW + 3 * SECOND, 1, 0, 3).unwrap().effect,
+        table
+            .request_page(NOW + 3 * SECOND, 1, 0, 3)
+            .unwrap()
+            .action,
         Action::DeliverPrefetched
     );
-    assert_eq!((book.holds(), book.counts.ahead_shown), ((1, 0), 1));
-    assert_eq!(book.spare(1, true, false, 10_000), Action::Read);
     assert_eq!(
-        book.came(NOW + 3 * SECOND, 1, &came(5, Continuity::Continues)),
+        (table.usage(), table.counts.prefetched_delivered),
+        ((1, 0), 1)
+    );
+    assert_eq!(table.try_prefetch(1, true, false, 10_000), Action::Read);
+    assert_eq!(
+        table.on_page_read(NOW + 3 * SECOND, 1, &page_result(5, Continuity::Continues)),
         Action::KeepPrefetched
     );
-    assert_eq!(book.sweep(NOW + 40 * SECOND), [1]);
-    assert_eq!((book.holds(), book.counts.ahead_vain), ((0, 0), 1));
+    assert_eq!(table.remove_idle(NOW + 40 * SECOND), [1]);
+    assert_eq!(
+        (table.usage(), table.counts.prefetched_discarded),
+        ((0, 0), 1)
+    );
 }
 
 #[test]
-fn whatever_is_seen_nothing_grows_past_its_bound_and_no_page_is_shown_unread() {
+fn random_events_keep_all_limits_and_deliver_only_pages_read() {
     for seed in 0..200 {
-        let mut chance = Rng::with_seed(seed);
-        let mut book = Book::new(CAPS);
+        let mut rng = Rng::with_seed(seed);
+        let mut table = ListingTable::new(LIMITS);
         let (mut now, mut reads) = (NOW, std::collections::BTreeMap::<u64, u32>::new());
         for _ in 0..400 {
-            now += chance.i64(0..2 * SECOND);
-            let (listing, pages) = (chance.u64(0..12), chance.u32(0..4));
-            let effect = match chance.u8(0..8) {
-                0..=2 => match book.asks(now, listing, (listing % 3) as usize, pages) {
+            now += rng.i64(0..2 * SECOND);
+            let (listing, pages) = (rng.u64(0..12), rng.u32(0..4));
+            let action = match rng.u8(0..8) {
+                0..=2 => match table.request_page(now, listing, (listing % 3) as usize, pages) {
                     Ok(plan) => {
-                        let reads = [
+                        let admitted_actions = [
                             Action::Read,
                             Action::Reread,
                             Action::DeliverPrefetched,
                             Action::Nothing,
                         ];
                         assert!(
-                            reads.contains(&plan.effect),
-                            "{plan:?} leaves who asked without a page"
+                            admitted_actions.contains(&plan.action),
+                            "{plan:?} leaves the client without a page"
                         );
-                        plan.effect
+                        plan.action
                     }
-                    Err(Turned::Many(at) | Turned::Fast(at)) => {
-                        assert!((1..=CAPS.longest_come_back).contains(&at));
+                    Err(
+                        PageRejection::TooManyListings(retry_after)
+                        | PageRejection::TooFast(retry_after),
+                    ) => {
+                        assert!((1..=LIMITS.max_retry_after).contains(&retry_after));
                         continue;
                     }
-                    Err(Turned::Gone) => continue,
+                    Err(PageRejection::Lost) => continue,
                 },
                 3 | 4 if reads.get(&listing).is_some_and(|n| *n > 0) => {
-                    let follows = [
+                    let continuities = [
                         Continuity::Continues,
                         Continuity::Continues,
                         Continuity::Behind,
                         Continuity::Lost,
                     ];
-                    let last = chance.u8(0..4) == 0;
-                    let one = Came {
-                        last,
-                        ..came(pages, follows[chance.usize(0..4)])
+                    let is_last = rng.u8(0..4) == 0;
+                    let result = PageResult {
+                        is_last,
+                        ..page_result(pages, continuities[rng.usize(0..4)])
                     };
-                    let effect = book.came(now, listing, &one);
-                    let left = reads.entry(listing).or_default();
+                    let action = table.on_page_read(now, listing, &result);
+                    let outstanding = reads.entry(listing).or_default();
                     assert!(
-                        !matches!(effect, Action::Deliver | Action::KeepPrefetched) || *left > 0
+                        !matches!(action, Action::Deliver | Action::KeepPrefetched)
+                            || *outstanding > 0
                     );
-                    *left = left.saturating_sub(1);
-                    effect
+                    *outstanding = outstanding.saturating_sub(1);
+                    action
                 }
-                5 => book.hung_up(listing),
-                6 => book.no_page(listing),
-                7 => book.spare(listing, true, false, 10_000),
+                5 => table.on_client_disconnected(listing),
+                6 => table.on_read_failed(listing),
+                7 => table.try_prefetch(listing, true, false, 10_000),
                 _ => Action::Nothing,
             };
-            *reads.entry(listing).or_default() += u32::from(effect == Action::Read);
-            let (listings, kept) = book.holds();
+            *reads.entry(listing).or_default() += u32::from(action == Action::Read);
+            let (listings, prefetched) = table.usage();
             assert!(
-                listings <= CAPS.listings && kept <= CAPS.ahead + 10_000,
-                "{listings} {kept}"
+                listings <= LIMITS.max_listings
+                    && prefetched <= LIMITS.max_prefetched_bytes + 10_000,
+                "{listings} listings, {prefetched} bytes prefetched"
             );
         }
-        book.sweep(now + CAPS.quiet);
-        book.sweep(now + 2 * CAPS.quiet);
+        table.remove_idle(now + LIMITS.idle_timeout);
+        table.remove_idle(now + 2 * LIMITS.idle_timeout);
         let reading = (0..12)
-            .filter(|l| book.state(*l) == Some(ListingState::Reading))
+            .filter(|l| table.state(*l) == Some(ListingState::Reading))
             .count();
         assert_eq!(
-            book.holds(),
+            table.usage(),
             (reading, 0),
-            "only what is being read is still there"
+            "only listings being read remain"
         );
     }
 }
 
 #[test]
-fn a_crowd_of_listings_yields_to_short_commands_and_takes_turns() {
-    let mut crowd = Crowd::new(60 * SECOND);
+fn concurrent_pages_are_limited_when_short_requests_are_late() {
+    let mut limiter = PageLimiter::new(60 * SECOND);
     let mut out = String::new();
-    // A hundred readers, each for its next page half a second after the one before, or when it was told to come
-    // back; a page takes 100 ms. Short commands are late whenever more than six pages are out.
-    let mut comes: Vec<i64> = (0..100).map(|n| NOW + n * 10).collect();
-    let mut ends: Vec<i64> = Vec::new();
+    // A hundred readers request their next page 600 ms after the last was admitted, or after the stated retry time. A
+    // page takes 100 ms. Short requests are late while more than six pages are being read.
+    let mut next_requests: Vec<i64> = (0..100).map(|n| NOW + n * 10).collect();
+    let mut page_ends: Vec<i64> = Vec::new();
     let (mut asked, mut read, mut longest) = (0, 0, 0);
     let mut now = NOW;
     while now < NOW + 60 * SECOND {
         now += 10 * MS;
-        let (over, on): (Vec<i64>, _) = ends.iter().partition(|at| **at <= now);
-        ends = on;
-        over.iter().for_each(|_| crowd.page_ended(0, now, 1_000));
-        (0..10).for_each(|n| crowd.ended(0, now, 1.0, ends.len() <= 6 || n > 1));
-        for at in comes.iter_mut().filter(|at| **at <= now) {
+        let (ended, running): (Vec<i64>, _) = page_ends.iter().partition(|at| **at <= now);
+        page_ends = running;
+        ended
+            .iter()
+            .for_each(|_| limiter.on_page_ended(0, now, 1_000));
+        (0..10).for_each(|n| limiter.on_request_ended(0, now, 1.0, page_ends.len() <= 6 || n > 1));
+        for at in next_requests.iter_mut().filter(|at| **at <= now) {
             asked += 1;
-            *at = match crowd.page(0, now, 0.2) {
+            *at = match limiter.try_start_page(0, now, 0.2) {
                 Ok(()) => {
                     read += 1;
-                    ends.push(now + 1_000);
+                    page_ends.push(now + 1_000);
                     now + 6_000
                 }
-                Err(later) => {
-                    longest = longest.max(later);
-                    now + later
+                Err(retry_after) => {
+                    longest = longest.max(retry_after);
+                    now + retry_after
                 }
             };
         }
         if (now - NOW) % (10 * SECOND) == 0 {
-            let room = crowd.of(0).1;
+            let limit = limiter.usage(0).1;
             let longest = std::mem::take(&mut longest) / MS;
             out += &format!(
-                "{asked} asked, {read} read, room {room:.1}, told {longest} ms at the most\n"
+                "{asked} asked, {read} read, room {limit:.1}, told {longest} ms at the most\n"
             );
             (asked, read) = (0, 0);
         }
     }
     insta::assert_snapshot!(out);
-    // However short commands fare, one page at a time is read.
+    // Even if all short requests are late, one page at a time is admitted.
     for _ in 0..400 {
         now += SECOND;
-        crowd.ended(0, now, 100.0, false);
+        limiter.on_request_ended(0, now, 100.0, false);
     }
-    (0..crowd.of(0).0).for_each(|_| crowd.page_ended(0, now, 1_000));
-    assert_eq!((crowd.page(0, now, 0.0), crowd.of(0).1), (Ok(()), 1.0));
+    (0..limiter.usage(0).0).for_each(|_| limiter.on_page_ended(0, now, 1_000));
+    assert_eq!(
+        (limiter.try_start_page(0, now, 0.0), limiter.usage(0).1),
+        (Ok(()), 1.0)
+    );
 }
 
-/// A cursor that a client carries is read by gateways of other versions of the program.
+/// Clients present their cursors to gateways of other versions, so the signed text must not change.
 #[test]
-fn a_cursor_is_the_text_that_the_released_program_signs() {
+fn signed_cursors_have_the_text_that_the_released_program_writes() {
     let keys = Keys::new(vec![Key {
         number: 9,
         secret: (0..16).collect(),
