--- a/crates/pagination/src/listing_state.rs
+++ b/crates/pagination/src/listing_state.rs
@@ -53,7 +53,7 @@
 /// What the gateway does on an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing.
+    /// Do nothing; a request for a page gets the one already being read.
     Nothing,
     /// Read the next page from a server.
     Read,
