--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -12,11 +12,11 @@
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 use leverpoint_cluster_model::replica_set::ReplicaSetConfig;
-use leverpoint_test_support::client::Judged;
-use leverpoint_test_support::client::{judged, noticed};
+use leverpoint_test_support::client::ResponseOutcome;
+use leverpoint_test_support::client::{classify_response, notice_detail};
 use leverpoint_test_support::gateway::Gateway;
-use leverpoint_test_support::member::{PLAIN, Set, serving};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::replica_set::{IDEAL_SET, ReplicaSet, start_replica_set};
+use leverpoint_test_support::values::expected_value;
 use serde::Serialize;
 
 use crate::stage::{self, PATIENCE};
@@ -61,7 +61,7 @@
 /// Replication within a data centre, on the slow side.
 pub(crate) const BUILD: ReplicaSetConfig = ReplicaSetConfig {
     replication_lag: 150,
-    ..PLAIN
+    ..IDEAL_SET
 };
 pub(crate) const WORK: Duration = Duration::from_millis(2);
 
@@ -74,7 +74,7 @@
 }
 
 struct Lane<'a> {
-    set: &'a Set,
+    set: &'a ReplicaSet,
     program: &'a Path,
     known: &'a str,
     asked: &'a Asked,
@@ -118,18 +118,20 @@
                 thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            match judged(&heard, &made(&id, length)) {
-                Judged::Answered => return Some((heard, id)),
-                Judged::Wrong => self.record.figures.wrong += 1,
-                Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms.clamp(10, 300))),
-                Judged::Failed => thread::sleep(Duration::from_millis(20)),
+            match classify_response(&heard, &expected_value(&id, length)) {
+                ResponseOutcome::Answered => return Some((heard, id)),
+                ResponseOutcome::Wrong => self.record.figures.wrong += 1,
+                ResponseOutcome::Throttled(ms) => {
+                    thread::sleep(Duration::from_millis(ms.clamp(10, 300)))
+                }
+                ResponseOutcome::Failed => thread::sleep(Duration::from_millis(20)),
             }
         }
         None
     }
 
     fn read(&mut self, nth: usize, session: &str, token: Option<&str>) {
-        let Some(wrote) = self.set.wrote(session) else {
+        let Some(wrote) = self.set.last_write_position(session) else {
             return;
         };
         let after = token
@@ -144,13 +146,13 @@
         let answered = self.command(nth, &text, 64);
         let took = began.elapsed().as_micros() as u64;
         self.record.figures.reads += 1;
-        let row = answered.and_then(|(_, id)| self.set.take_read(&id));
+        let row = answered.and_then(|(_, id)| self.set.take_read_origin(&id));
         let Some(row) = row else {
             self.record.figures.failed += 1;
             return;
         };
         self.record.times.saturating_record(took);
-        self.record.figures.missing += usize::from(row.at < wrote);
+        self.record.figures.missing += usize::from(row.position < wrote);
         self.record.primary += usize::from(row.by_primary);
         self.record.needless += usize::from(row.needless);
     }
@@ -173,7 +175,7 @@
         };
         // Killed outright: the guard's drop sends SIGKILL and waits for its end.
         self.gateways[writer] = None;
-        let token = noticed(&heard);
+        let token = notice_detail(&heard);
         self.read(1 - writer, &session, token.as_deref());
         self.start(writer);
         self.read(writer, &session, token.as_deref());
@@ -205,7 +207,7 @@
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
     let program = stage::program(&asked.program)?;
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let tries = if asked.short {
         asked.tries.min(400)
     } else {
@@ -221,7 +223,7 @@
             needless: 0,
         };
         let chance = Rng::with_seed(asked.seed * 100 + name as u64);
-        let (set, program): (&Set, &Path) = (&set, &program);
+        let (set, program): (&ReplicaSet, &Path) = (&set, &program);
         let gateways = [None, None];
         let mut lane = Lane {
             set,
@@ -247,7 +249,7 @@
         let lanes: Vec<_> = (0..LANES)
             .map(|name| scope.spawn(move || lane(name)))
             .collect();
-        let (set, over): (Arc<Set>, &AtomicBool) = (set.clone(), &over);
+        let (set, over): (Arc<ReplicaSet>, &AtomicBool) = (set.clone(), &over);
         let mut chance = Rng::with_seed(asked.seed);
         // Meanwhile replicas stand still for a while, and the primary changes every few seconds.
         let trouble = scope.spawn(move || {
@@ -255,14 +257,14 @@
             while !over.load(Relaxed) {
                 let member = chance.usize(..MEMBERS);
                 if set.primary() != Some(member) {
-                    set.hold_up(member, true);
+                    set.set_replication_paused(member, true);
                 }
                 thread::sleep(Duration::from_millis(chance.u64(100..600)));
-                set.hold_up(member, false);
+                set.set_replication_paused(member, false);
                 thread::sleep(Duration::from_millis(chance.u64(100..600)));
                 beat += 1;
                 if beat % 4 == 0 {
-                    set.hand_over(chance.usize(..MEMBERS));
+                    set.switch_over(chance.usize(..MEMBERS));
                 }
             }
         });
