--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,5 +13,5 @@
 mod units;
 mod value_path;
 
-pub use operator::{copies, members};
+pub use operator::{membership, replication};
 pub use value_path::{ConfigError, ValuePath};
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -111,7 +111,7 @@
 /// # Errors
 ///
 /// Names the variable or the key that is missing or wrong.
-pub fn reread(path: &str, var: impl Fn(&str) -> Option<String>) -> Result<NodeConfig, ConfigError> {
+pub fn reload(path: &str, var: impl Fn(&str) -> Option<String>) -> Result<NodeConfig, ConfigError> {
     from_file(path, |name, key| {
         if key.value().is_some() {
             None
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -4,9 +4,9 @@
 //! names file, line, key and what was expected.
 
 mod backpressure;
-pub mod copies;
 mod document;
-pub mod members;
+pub mod membership;
+pub mod replication;
 mod sessions;
 
 use leverpoint_backpressure::{Limits, Ticks};
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use self::copies::{ReplicationPrerequisites, ReplicationSettings};
 use self::document::Document;
-use self::members::{MembershipSettings, ProcessIdentity};
+use self::membership::{MembershipSettings, ProcessIdentity};
+use self::replication::{ReplicationPrerequisites, ReplicationSettings};
 pub use self::sessions::SessionTracking;
 use crate::config_file;
 use crate::value_path::ConfigError;
@@ -28,8 +28,8 @@
 struct Blocks {
     slow: backpressure::Block,
     sessions: sessions::Block,
-    members: members::Block,
-    copies: copies::Block,
+    members: membership::Block,
+    copies: replication::Block,
 }
 
 /// The operator's file, checked; the default is that of no file.
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -29,17 +29,17 @@
     /// Index of the role in a load report.
     pub role_field: Option<usize>,
     /// Names of the request classes, by their indices.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the tenants, by their indices.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Names of the zones, by their indices.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// How long opening a connection to a server may take.
     pub connect_timeout: Ticks,
     /// An answer that comes so long after the client's deadline still counts.
     pub answer_slack: Ticks,
     /// Servers close connections that have been idle for so long.
-    pub idle_close: Ticks,
+    pub server_idle_timeout: Ticks,
 }
 
 /// Converts milliseconds to ticks, rounded down.
@@ -103,13 +103,13 @@
             .value_or(0.0, ValuePath::number)?,
         position_field: field("x0"),
         role_field: field("x1"),
-        classes: names(&top.get("grades"))?,
-        tenants: names(&top.get("tenants"))?,
-        zones: top.get("zones").strings()?,
+        class_names: names(&top.get("grades"))?,
+        tenant_names: names(&top.get("tenants"))?,
+        zone_names: top.get("zones").strings()?,
         connect_timeout: floor_or(&sections.limits.get("connectTimeoutMs"), 250.0)?
             .max(MIN_CONNECT_TIMEOUT),
         answer_slack: floor_or(&sections.contract.get("answerSlackMs"), 20.0)?,
-        idle_close: floor_or(&sections.limits.get("idleCloseMs"), 15_000.0)?,
+        server_idle_timeout: floor_or(&sections.limits.get("idleCloseMs"), 15_000.0)?,
     })
 }
 
--- a/crates/engine/src/discovery.rs
+++ b/crates/engine/src/discovery.rs
@@ -27,7 +27,7 @@
         revision: u64,
         entries: &[EndpointEntry],
     ) {
-        let zones = &self.settings.zones;
+        let zones = &self.settings.zone_names;
         let applied = self
             .endpoints
             .apply(update, revision, entries, zones, &self.log);
--- a/crates/engine/src/intake.rs
+++ b/crates/engine/src/intake.rs
@@ -119,7 +119,7 @@
 
     /// Resolves the names in a request, and checks that the statement fits the class and that the id is not in use.
     fn resolve(&self, header: &RequestHeader<'_>) -> Result<ResolvedNames, Rejection> {
-        let class = index_of(&self.settings.classes, header.class)
+        let class = index_of(&self.settings.class_names, header.class)
             .ok_or_else(|| unknown_name("c", header.class))?;
         let tenant = self.resolve_tenant(header)?;
         let config = &self.settings.routing.classes[class];
@@ -150,7 +150,7 @@
     }
 
     fn resolve_tenant(&self, header: &RequestHeader<'_>) -> Result<usize, Rejection> {
-        let tenants = &self.settings.tenants;
+        let tenants = &self.settings.tenant_names;
         match header.tenant {
             _ if tenants.is_empty() => Ok(0),
             Some(name) => index_of(tenants, name).ok_or_else(|| unknown_name("t", name)),
--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -102,11 +102,11 @@
         limits.memory_bytes >> 20,
         limits.sockets
     )?;
-    for (name, class) in node.settings.classes.iter().zip(&facts.classes) {
+    for (name, class) in node.settings.class_names.iter().zip(&facts.classes) {
         writeln!(out, "command group {name}: {}", request_class(class))?;
     }
-    writeln!(out, "customers {}", node.settings.tenants.join(", "))?;
-    writeln!(out, "zones {}", node.settings.zones.join(", "))?;
+    writeln!(out, "customers {}", node.settings.tenant_names.join(", "))?;
+    writeln!(out, "zones {}", node.settings.zone_names.join(", "))?;
     writeln!(out, "{}", endpoint_list(&facts.endpoint_list))?;
     writeln!(out, "{}", permissions(&facts.permissions))?;
     writeln!(out, "{}", server_protection(&facts.protection))
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,9 +7,9 @@
 use leverpoint_backpressure::Limits;
 use leverpoint_backpressure::limits::MachineResources;
 use leverpoint_config::ConfigError;
-use leverpoint_config::copies::ReplicationSettings;
 use leverpoint_config::node::NodeConfig;
 use leverpoint_config::operator::OperatorConfig;
+use leverpoint_config::replication::ReplicationSettings;
 use leverpoint_config::settings::ticks_to_duration;
 use leverpoint_engine::UNRESERVED_BYTES;
 use leverpoint_engine::client_connections::ClientConnections;
@@ -116,7 +116,7 @@
     fn new(node: &NodeConfig, caps: Limits, reserved: usize, log: &slog::Logger) -> Self {
         let opened = &node.settings;
         let facts = &opened.routing;
-        let counters = Rc::new(Metrics::new(&opened.classes));
+        let counters = Rc::new(Metrics::new(&opened.class_names));
         let (classes, tenants) = (facts.classes.len(), facts.tenants.len());
         let peers = ClientConnections::new(caps, classes, tenants, facts.seed, log.clone());
         let sockets = node.limits.sockets - reserved;
@@ -127,7 +127,7 @@
             peers.clone(),
             counters.clone(),
             opened.connect_timeout,
-            opened.idle_close,
+            opened.server_idle_timeout,
         );
         ConnectionResources {
             counters,
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -9,7 +9,7 @@
 use std::thread;
 
 use leverpoint_config::ConfigError;
-use leverpoint_config::members::MembershipSettings;
+use leverpoint_config::membership::MembershipSettings;
 use leverpoint_config::node::NodeConfig;
 use leverpoint_config::operator::OperatorConfig;
 use leverpoint_membership::MembershipEvent;
@@ -47,7 +47,7 @@
     let facts = &node.settings.routing;
     let zone = node
         .settings
-        .zones
+        .zone_names
         .get(facts.zone)
         .map_or("", String::as_str);
     operator.membership(&node.name, zone, node.limits.sockets)
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -25,7 +25,7 @@
     /// Reads the configuration and the operator's file again; a faulty file changes nothing.
     pub fn reload(&self) {
         let environment = |name: &str| std::env::var(name).ok();
-        self.apply_configuration(node::reread(&self.node.path, environment));
+        self.apply_configuration(node::reload(&self.node.path, environment));
         self.reload_operator_file();
     }
 
--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::Duration;
 
-use leverpoint_config::copies::ReplicationSettings;
+use leverpoint_config::replication::ReplicationSettings;
 use leverpoint_config::settings::duration_to_ticks;
 use leverpoint_engine::engine::{EndpointEntry, Engine};
 use leverpoint_engine::replicated_state::{ReplicatedState, WriteDecision};
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -87,7 +87,7 @@
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
         let opened = settings::parse(7, SETTINGS.as_bytes()).unwrap();
-        let counters = Rc::new(metrics::Metrics::new(&opened.classes));
+        let counters = Rc::new(metrics::Metrics::new(&opened.class_names));
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let exchange = Engine::new(opened, counters, None, log.clone());
         let peer = ClientConnections::new(caps(), 2, 1, 7, log).register(WeakStream::None);
