--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,6 +1,6 @@
-//! `leverpoint-bench-adapter`: hosts instances of the decision module on the bench's wire.
+//! `leverpoint-bench-adapter`: runs instances of the decision module for the bench.
 //!
-//! Batches come in on standard input, one reply a batch goes out on standard output.
+//! It reads batches of events from standard input, and writes one reply of actions for each to standard output.
 
 mod instance;
 mod wire;
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 use instance::Instance;
-use wire::{Event, Fault, Frame, Lists, Reply};
+use wire::{AdapterError, Batch, EndpointLists, Event, Reply};
 
 fn main() -> ExitCode {
     let mut input = BufReader::with_capacity(1 << 18, io::stdin().lock());
@@ -19,35 +19,38 @@
     panic::set_hook(Box::new(|_| {}));
     match serve(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("leverpoint-bench-adapter: {fault}");
+        Err(error) => {
+            eprintln!("leverpoint-bench-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), Fault> {
+/// Replies to each batch until the input ends. A panic of the decision module is reported in the reply and is an error.
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
-    let mut lists = Lists::default();
-    let mut frame = Frame::default();
+    let mut lists = EndpointLists::default();
+    let mut batch = Batch::default();
     let mut reply = Reply::default();
-    while frame.read(input)? {
-        reply.start(frame.number);
-        let answered = panic::catch_unwind(AssertUnwindSafe(|| {
-            answer(&frame, &mut instances, &mut lists, &mut reply)
+    while batch.read(input)? {
+        reply.start(batch.number);
+        let outcome = panic::catch_unwind(AssertUnwindSafe(|| {
+            process_batch(&batch, &mut instances, &mut lists, &mut reply)
         }));
-        match answered {
+        match outcome {
             Ok(done) => done?,
-            Err(cause) => {
-                let cause = cause
+            Err(panic_text) => {
+                let panic_text = panic_text
                     .downcast_ref::<String>()
                     .map(String::as_str)
-                    .or_else(|| cause.downcast_ref::<&str>().copied())
+                    .or_else(|| panic_text.downcast_ref::<&str>().copied())
                     .unwrap_or("unknown panic");
-                reply.start(frame.number);
-                reply.fatal(cause);
+                reply.start(batch.number);
+                reply.fatal(panic_text);
                 reply.write(output)?;
-                return Err(Fault::new(format!("decision module panicked: {cause}")));
+                return Err(AdapterError::new(format!(
+                    "decision module panicked: {panic_text}"
+                )));
             }
         }
         reply.write(output)?;
@@ -55,36 +58,36 @@
     Ok(())
 }
 
-/// Hands the events of one batch to their instances, in order, and collects the actions.
-fn answer(
-    frame: &Frame,
+/// Passes the events of one batch to their instances, in order, and collects the actions.
+fn process_batch(
+    batch: &Batch,
     instances: &mut BTreeMap<u32, Instance>,
-    lists: &mut Lists,
+    lists: &mut EndpointLists,
     reply: &mut Reply,
-) -> Result<(), Fault> {
-    let mut chosen = None;
-    let mut events = frame.events();
+) -> Result<(), AdapterError> {
+    let mut selected = None;
+    let mut events = batch.events();
     while let Some(event) = events.next()? {
-        let at = events.at();
+        let offset = events.offset();
         match event {
-            Event::Select(number) => chosen = Some(number),
-            Event::List { bank, lines } => lists[bank] = Some(lines),
-            Event::Open { seed, options } => {
-                let number = selected(chosen, at)?;
-                let instance = Instance::open(seed, options)
-                    .map_err(|e| Fault::new(format!("instance {number}: {e}")))?;
+            Event::Select(number) => selected = Some(number),
+            Event::List { list, entries } => lists[list] = Some(entries),
+            Event::Open { seed, settings } => {
+                let number = require_selected(selected, offset)?;
+                let instance = Instance::open(seed, settings)
+                    .map_err(|e| AdapterError::new(format!("instance {number}: {e}")))?;
                 instances.insert(number, instance);
             }
             Event::Stop => {
-                instances.remove(&selected(chosen, at)?);
+                instances.remove(&require_selected(selected, offset)?);
             }
             event => {
-                let number = selected(chosen, at)?;
+                let number = require_selected(selected, offset)?;
                 if let Some(instance) = instances.get_mut(&number) {
-                    reply.at(number);
+                    reply.select(number);
                     instance
-                        .take(frame.now, event, lists, reply)
-                        .map_err(|e| e.within(frame.number, at))?;
+                        .handle_event(batch.now_ms, event, lists, reply)
+                        .map_err(|e| e.with_location(batch.number, offset))?;
                 }
             }
         }
@@ -92,6 +95,10 @@
     Ok(())
 }
 
-fn selected(chosen: Option<u32>, at: usize) -> Result<u32, Fault> {
-    chosen.ok_or_else(|| Fault::new(format!("event at byte {at} before any instance is named")))
+fn require_selected(selected: Option<u32>, offset: usize) -> Result<u32, AdapterError> {
+    selected.ok_or_else(|| {
+        AdapterError::new(format!(
+            "event at byte {offset} before any instance is selected"
+        ))
+    })
 }
