--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's own file, in HCL: what the platform's configuration has no key for.
+//! The operator's own file, in HCL: options for which the platform's configuration has no key.
 //!
 //! Every key may be absent. The file is checked against the schema that is derived from the blocks' types, and an error
 //! names file, line, key and what was expected.
@@ -26,20 +26,24 @@
 #[derive(Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct Blocks {
-    slow: backpressure::Block,
+    #[serde(rename = "slow")]
+    backpressure: backpressure::Block,
     sessions: sessions::Block,
-    members: membership::Block,
-    copies: replication::Block,
+    #[serde(rename = "members")]
+    membership: membership::Block,
+    #[serde(rename = "copies")]
+    replication: replication::Block,
 }
 
-/// The operator's file, checked; the default is that of no file.
+/// The operator's file, checked. The default has no file and no options.
 #[derive(Debug, Default)]
 pub struct OperatorConfig {
     document: Document,
     blocks: Blocks,
 }
 
-/// Returns the JSON schema of the file.
+/// Returns the JSON schema of the file. `leverpoint check --schema` prints it, descriptions included: these are the doc
+/// comments of the blocks' types and of their fields.
 pub fn schema() -> Value {
     let settings = SchemaSettings::draft2020_12().with(|s| s.inline_subschemas = true);
     settings
@@ -60,7 +64,7 @@
     from_text(path, &text)
 }
 
-/// Checks a file's text; `path` is what errors call it.
+/// Checks a file's text; `path` names it in errors.
 ///
 /// # Errors
 ///
@@ -80,26 +84,29 @@
 }
 
 impl OperatorConfig {
-    /// The file's path, where there is one.
+    /// The file's path; `None` if there is no file.
     pub fn path(&self) -> Option<&str> {
         self.document.path()
     }
 
-    /// Returns the limits for slow clients: those that follow from the machine, and above them what the file states.
+    /// Returns the limits for slow clients: `defaults`, which follow from the machine, overridden by what the file states.
     ///
     /// # Errors
     ///
     /// Names the first size that does not fit the others, or `longest_message`, in bytes.
     pub fn backpressure_limits(
         &self,
-        from: Limits,
+        defaults: Limits,
         longest_message: usize,
     ) -> Result<Limits, ConfigError> {
         let context = self.document.block("slow");
-        self.blocks.slow.limits(from, longest_message, &context)
+        self.blocks
+            .backpressure
+            .limits(defaults, longest_message, &context)
     }
 
-    /// Returns how sessions are tracked; none where they are not. `seed` numbers them where the file states no number.
+    /// Returns how sessions are tracked; `None` if they are not. `seed` is the secret of the hash that numbers them if the
+    /// file has none.
     ///
     /// # Errors
     ///
@@ -109,8 +116,8 @@
         self.blocks.sessions.session_tracking(seed, &context)
     }
 
-    /// Returns the fleet that this process is a member of; none where it is of none. `name` and `zone` are the process's
-    /// own, `sockets` its descriptors.
+    /// Returns the membership of this process in its fleet; `None` if it belongs to none. `name` and `zone` are the
+    /// process's own, `sockets` the number of file descriptors that it may use.
     ///
     /// # Errors
     ///
@@ -127,27 +134,29 @@
             sockets,
         };
         let context = self.document.block("members");
-        self.blocks.members.membership(&process, &context)
+        self.blocks.membership.membership(&process, &context)
     }
 
-    /// Returns how this gateway's state is replicated; none where it is not. `longest_timeout` is the longest time that a
+    /// Returns how this gateway's state is replicated; `None` if it is not. `longest_timeout` is the longest time that a
     /// client waits or a retry is deduplicated.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong or lacks what it needs.
+    /// Names the first key that is wrong, or that requires a key of another block which is missing.
     pub fn replication(
         &self,
         longest_timeout: Ticks,
     ) -> Result<Option<ReplicationSettings>, ConfigError> {
         let prerequisites = ReplicationPrerequisites {
-            clock_difference: self.blocks.sessions.clock_difference(),
+            max_clock_skew: self.blocks.sessions.max_clock_skew(),
             longest_timeout,
-            is_member: self.blocks.members.is_member(),
+            is_member: self.blocks.membership.is_member(),
             shares_sessions: self.blocks.sessions.is_shared(),
         };
         let context = self.document.block("copies");
-        self.blocks.copies.replication(&prerequisites, &context)
+        self.blocks
+            .replication
+            .replication(&prerequisites, &context)
     }
 
     /// Returns the paths of the keys that differ in another reading.
--- a/crates/config/src/operator/membership.rs
+++ b/crates/config/src/operator/membership.rs
@@ -1,6 +1,6 @@
 //! The block `members`: the fleet that a process belongs to, and how it reaches the other members.
 //!
-//! What members have to agree on has defaults that are the same for all.
+//! Values on which members have to agree have the same defaults for all.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,7 +33,8 @@
     seeds: Option<Vec<String>>,
     /// By a member's name: its address as seen from here, where that is not the address it states.
     #[schemars(extend("x-expected" = "a map of names to addresses"))]
-    reach: Option<BTreeMap<String, String>>,
+    #[serde(rename = "reach")]
+    address_overrides: Option<BTreeMap<String, String>>,
     /// Zone of this process; else the configuration's.
     #[schemars(length(min = 1, max = 64), extend("x-expected" = "a name of up to 64 bytes"))]
     zone: Option<String>,
@@ -48,14 +49,18 @@
     keys: Option<Vec<Secret>>,
     /// Folder on a persistent disk; without one each start begins with no state.
     #[schemars(length(min = 1, max = 4096), extend("x-expected" = "the path of a folder"))]
-    disk: Option<String>,
+    #[serde(rename = "disk")]
+    storage_dir: Option<String>,
     /// Interval of failure detection, in which one member is probed; the same for all.
-    beat: Option<TimeSpan>,
+    #[serde(rename = "beat")]
+    probe_interval: Option<TimeSpan>,
     /// A member that is not in the layout is proposed once it has been alive for so long.
-    settles: Option<TimeSpan>,
+    #[serde(rename = "settles")]
+    join_delay: Option<TimeSpan>,
     /// Connections to other members at most; a sixteenth of the descriptors where it is absent.
     #[schemars(range(min = 4, max = 4096), extend("x-expected" = "a whole number from 4 to 4096"))]
-    connections: Option<u32>,
+    #[serde(rename = "connections")]
+    max_connections: Option<u32>,
 }
 
 /// Configuration of a process's membership in its fleet.
@@ -63,60 +68,60 @@
 pub struct MembershipSettings {
     /// Address at which connections of other members are accepted.
     pub listen: SocketAddr,
-    /// Address that other members are told.
+    /// Address that this process advertises to other members.
     pub address: String,
     /// Name of the fleet.
     pub fleet: String,
     /// Addresses of members to join through.
     pub seeds: Vec<String>,
-    /// Addresses by members' names, in place of those that the members state.
+    /// Addresses by members' names, in place of those that the members advertise.
     pub address_overrides: BTreeMap<String, String>,
     /// Zone of this process.
     pub zone: String,
-    /// Machine of this process.
+    /// Machine of this process; processes on one machine fail together.
     pub machine: String,
     /// Names of the members that agree on the first layout.
     pub founders: Vec<String>,
     /// Keys that authenticate messages between members.
     pub keys: Keys,
-    /// Folder on a persistent disk.
+    /// Folder on a persistent disk; without one each start begins with no state.
     pub disk: Option<String>,
-    /// Parameters of the membership itself.
+    /// Parameters of the membership protocol.
     pub config: MembershipConfig,
-    /// Connections to other members at most.
+    /// Maximum number of connections to other members.
     pub max_connections: usize,
 }
 
-/// Shorter intervals cost more than they tell.
+/// 50 ms. Shorter intervals cost more traffic than the earlier detection of failures is worth.
 const MIN_PROBE_INTERVAL: Ticks = 500;
-/// Beyond this a failure is detected after minutes.
+/// 1 minute. With longer intervals the detection of a failure takes minutes.
 const MAX_PROBE_INTERVAL: Ticks = 600_000;
 
-/// What identifies a process beside its block.
+/// The process that joins, as its own configuration describes it.
 pub(crate) struct ProcessIdentity<'a> {
     pub(crate) name: &'a str,
     pub(crate) zone: &'a str,
-    /// Number of its descriptors.
+    /// Number of file descriptors that it may use.
     pub(crate) sockets: usize,
 }
 
 /// The addresses at which a member is reached.
 struct Addresses {
     listen: SocketAddr,
-    stated: String,
+    advertised: String,
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
 impl Block {
-    /// Whether the process is a member of any fleet.
+    /// Whether the process belongs to a fleet.
     pub(crate) fn is_member(&self) -> bool {
         self.listen.is_some()
     }
 
-    /// Returns the process's membership; none where it is a member of no fleet.
+    /// Returns the process's membership; `None` if it belongs to no fleet.
     ///
     /// # Errors
     ///
@@ -141,20 +146,20 @@
         let founders = self.checked_founders(context)?;
         let config = self.parameters(context)?;
         let max_connections = self.checked_max_connections(process.sockets, context)?;
-        let or = |stated: &Option<String>, default: &str| {
+        let or_default = |stated: &Option<String>, default: &str| {
             stated.clone().unwrap_or_else(|| default.to_owned())
         };
         Ok(Some(MembershipSettings {
             listen: addresses.listen,
-            address: addresses.stated,
+            address: addresses.advertised,
             fleet,
             seeds,
             address_overrides,
-            zone: or(&self.zone, process.zone),
-            machine: or(&self.machine, process.name),
+            zone: or_default(&self.zone, process.zone),
+            machine: or_default(&self.machine, process.name),
             founders,
             keys,
-            disk: self.disk.clone(),
+            disk: self.storage_dir.clone(),
             config,
             max_connections,
         }))
@@ -165,10 +170,12 @@
         listen: &str,
         context: &BlockContext<'_>,
     ) -> Result<Addresses, ConfigError> {
-        let listen = address(listen)
+        let listen = parse_address(listen)
             .ok_or_else(|| context.error("listen", "an address like \"10.0.0.7:7432\""))?;
-        let stated = self.address.clone().unwrap_or_else(|| listen.to_string());
-        if address(&stated).is_none_or(|at| at.ip().is_unspecified() || at.port() == 0) {
+        let advertised = self.address.clone().unwrap_or_else(|| listen.to_string());
+        if parse_address(&advertised)
+            .is_none_or(|address| address.ip().is_unspecified() || address.port() == 0)
+        {
             let key = if self.address.is_some() {
                 "address"
             } else {
@@ -177,12 +184,12 @@
             let expected = "an address that others can reach, with its port";
             return Err(context.error(key, expected));
         }
-        Ok(Addresses { listen, stated })
+        Ok(Addresses { listen, advertised })
     }
 
     fn checked_seeds(&self, context: &BlockContext<'_>) -> Result<Vec<String>, ConfigError> {
         let seeds = self.seeds.clone().unwrap_or_default();
-        if seeds.iter().any(|seed| address(seed).is_none()) {
+        if seeds.iter().any(|seed| parse_address(seed).is_none()) {
             return Err(context.error("seeds", "addresses like \"10.0.0.7:7432\""));
         }
         Ok(seeds)
@@ -192,12 +199,16 @@
         &self,
         context: &BlockContext<'_>,
     ) -> Result<BTreeMap<String, String>, ConfigError> {
-        let reach = self.reach.clone().unwrap_or_default();
-        if reach.len() > MAX_HOLDERS || reach.values().any(|at| address(at).is_none()) {
+        let overrides = self.address_overrides.clone().unwrap_or_default();
+        if overrides.len() > MAX_HOLDERS
+            || overrides
+                .values()
+                .any(|address| parse_address(address).is_none())
+        {
             let expected = format!("up to {MAX_HOLDERS} addresses like \"10.0.0.7:7432\"");
             return Err(context.error("reach", &expected));
         }
-        Ok(reach)
+        Ok(overrides)
     }
 
     fn checked_keys(&self, context: &BlockContext<'_>) -> Result<Keys, ConfigError> {
@@ -207,6 +218,7 @@
         let keys = keys.ok_or_else(|| context.error("keys", "each key's number once"))?;
         Ok(Keys::new(keys))
     }
+
     fn checked_founders(&self, context: &BlockContext<'_>) -> Result<Vec<String>, ConfigError> {
         let founders = self.founders.clone().unwrap_or_default();
         let fits = |name: &String| !name.is_empty() && name.len() <= member_info::MAX_TEXT_BYTES;
@@ -218,17 +230,18 @@
 
     fn parameters(&self, context: &BlockContext<'_>) -> Result<MembershipConfig, ConfigError> {
         let default = MembershipConfig::default();
-        let probe_interval = TimeSpan::value_or(self.beat.as_ref(), default.probe_interval);
+        let probe_interval =
+            TimeSpan::value_or(self.probe_interval.as_ref(), default.probe_interval);
         if !(MIN_PROBE_INTERVAL..=MAX_PROBE_INTERVAL).contains(&probe_interval) {
             return Err(context.error("beat", "a time from \"50ms\" to \"1m\""));
         }
-        // Answers are waited for in proportion to the interval.
+        // The probe timeout and the join delay are proportional to the interval.
         let probe_timeout = probe_interval * default.probe_timeout / default.probe_interval;
         let join_delay = default.join_delay * probe_interval / default.probe_interval;
         Ok(MembershipConfig {
             probe_interval,
             probe_timeout,
-            join_delay: TimeSpan::value_or(self.settles.as_ref(), join_delay),
+            join_delay: TimeSpan::value_or(self.join_delay.as_ref(), join_delay),
             ..default
         })
     }
@@ -239,10 +252,10 @@
         context: &BlockContext<'_>,
     ) -> Result<usize, ConfigError> {
         let default = (sockets / 16).max(4);
-        let connections = self.connections.map_or(default, |n| n as usize);
+        let connections = self.max_connections.map_or(default, |n| n as usize);
         if connections > sockets / 4 {
-            let most = format!("at most {}, a quarter of the descriptors", sockets / 4);
-            return Err(context.error("connections", &most));
+            let expected = format!("at most {}, a quarter of the descriptors", sockets / 4);
+            return Err(context.error("connections", &expected));
         }
         Ok(connections)
     }
