--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,12 @@
-//! Reading, checking and completion of all configuration.
+//! Reads and checks all configuration, and completes it with defaults.
 //!
-//! [`settings`] reads the settings object, which the bench adapter and the gateway are both handed; [`node`] reads a
-//! gateway's own configuration; [`operator`] reads the operator's file, a module for each of its blocks. Every error names
-//! the key and what was expected of it. No setting is read by its wire name outside of this package.
+//! [`settings`] reads the settings object, which both the bench adapter and the gateway receive; [`node`] reads a gateway's
+//! own configuration; [`operator`] reads the operator's file, with a module for each of its blocks. Every error names the
+//! key and what was expected of it.
+//!
+//! # Invariants
+//!
+//! No other package reads a setting by its key.
 
 #![warn(missing_docs)]
 
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -11,12 +11,12 @@
 use crate::settings::{self, Settings};
 use crate::value_path::{ConfigError, ValuePath, changed_paths};
 
-/// Limits of the machine.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Memory that the process may use.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// Descriptors that the process may use.
+    /// Number of file descriptors that the process may use.
     pub sockets: usize,
 }
 
@@ -24,38 +24,39 @@
 pub struct NodeConfig {
     /// The file's path.
     pub path: String,
-    /// The file's content, to tell what another reading has changed.
+    /// The file's content without the endpoint list, to tell which keys a reload has changed.
     document: Value,
     /// Name of the gateway.
     pub name: String,
     /// Address at which clients are accepted.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the agent that serves discovery.
     pub discovery: SocketAddr,
-    /// Limits of the machine.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The last known endpoint list, in discovery's format; kept as text, as a parsed tree takes many times as much.
+    /// The last known endpoint list, in the format of discovery. It is kept as text, since the parsed tree takes many times as
+    /// much memory.
     pub known_endpoints: Option<Box<RawValue>>,
-    /// The settings.
+    /// The settings object, checked and completed.
     pub settings: Settings,
 }
 
 const DEFAULT_MEMORY_MB: usize = 192;
 const DEFAULT_SOCKETS: usize = 1_024;
 
-/// Keys that matter at a start alone: a change of them in a later reading has no effect.
-const ONLY_AT_START: [&str; 2] = ["known", "seed"];
+/// Keys that are used only at startup; a reload ignores changes of them.
+const STARTUP_ONLY_KEYS: [&str; 2] = ["known", "seed"];
 
 impl NodeConfig {
-    /// Returns the paths of the keys that differ in another reading, except those that matter at a start alone.
+    /// Returns the paths of the keys that differ in `other`, except those that are used only at startup.
     pub fn changed_keys(&self, other: &NodeConfig) -> Vec<String> {
         let mut paths = changed_paths(&self.document, &other.document);
-        paths.retain(|key| !ONLY_AT_START.contains(&key.as_str()));
+        paths.retain(|key| !STARTUP_ONLY_KEYS.contains(&key.as_str()));
         paths
     }
 }
 
-/// A file's content with the endpoint list apart.
+/// A file's content, with the endpoint list (key `known`) kept as unparsed text.
 struct Document {
     rest: Value,
     known: Option<Box<RawValue>>,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reads the environment that `var` looks up, and the file that it names.
+/// Reads the environment, which `var` looks up, and the file that `NODE_CONFIG` names.
 ///
 /// A variable that is set overrides the file's key of the same meaning.
 ///
@@ -106,7 +107,7 @@
     from_file(&path, |name, _| var(name))
 }
 
-/// Reads the file again. The environment is as old as the process, so now the file's keys override it.
+/// Reads the file again. The environment dates from the start of the process, so now the file's keys override it.
 ///
 /// # Errors
 ///
@@ -121,7 +122,7 @@
     })
 }
 
-/// Reads a file; `var` looks up the variable that overrides a key.
+/// Reads a file; `var` looks up the environment variable that overrides a key, given the variable's name and the key.
 ///
 /// # Errors
 ///
@@ -133,7 +134,7 @@
     from_text(path, &config_file::read("NODE_CONFIG", path)?, var)
 }
 
-/// Parses a file's content; `path` is what it is called.
+/// Parses a file's content; `path` becomes the path of the result, and `var` is as in [`from_file`].
 ///
 /// # Errors
 ///
@@ -168,7 +169,7 @@
     })
 }
 
-/// Reads an address; the variable overrides the key.
+/// Reads an address; the environment variable, if set, overrides the key.
 fn address(
     key: &ValuePath<'_>,
     variable: &str,
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first size that does not fit the others, or `longest_message`, in bytes.
+    /// Names the first size that contradicts another one, or is below `longest_message`, in bytes.
     pub fn backpressure_limits(
         &self,
         defaults: Limits,
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first key that does not fit the others.
+    /// Names the first key that contradicts another one.
     pub fn session_tracking(&self, seed: u64) -> Result<Option<SessionTracking>, ConfigError> {
         let context = self.document.block("sessions");
         self.blocks.sessions.session_tracking(seed, &context)
@@ -159,7 +159,7 @@
             .replication(&prerequisites, &context)
     }
 
-    /// Returns the paths of the keys that differ in another reading.
+    /// Returns the paths of the keys that differ in `other`.
     pub fn changed_keys(&self, other: &OperatorConfig) -> Vec<String> {
         self.document.changed_keys(&other.document)
     }
--- a/crates/config/src/operator/backpressure.rs
+++ b/crates/config/src/operator/backpressure.rs
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first size that does not fit the others, or `longest_message`, in bytes.
+    /// Names the first size that contradicts another one, or is below `longest_message`, in bytes.
     pub(crate) fn limits(
         &self,
         defaults: Limits,
--- a/crates/config/src/operator/document.rs
+++ b/crates/config/src/operator/document.rs
@@ -1,4 +1,4 @@
-//! The operator's file as a document: its values, and where they stand for error messages.
+//! The operator's file as a document: its values, and their lines for error messages.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -9,23 +9,23 @@
 
 use crate::value_path::{ConfigError, changed_paths};
 
-/// A parsed file; empty where there is none.
+/// A parsed file; empty if there is none.
 #[derive(Debug, Default)]
 pub(super) struct Document {
     path: String,
     pub(super) root: Value,
-    /// Lines of keys, by their JSON pointers.
+    /// Line numbers of keys, by JSON pointer.
     lines: BTreeMap<String, usize>,
 }
 
-/// One block of a document, to name its keys in errors.
+/// One block of a document, which names its keys in errors.
 pub(crate) struct BlockContext<'a> {
     document: &'a Document,
     block: &'a str,
 }
 
 impl BlockContext<'_> {
-    /// Makes the error that a key of this block has another value than expected.
+    /// Creates the error that a key of this block does not have the expected value.
     pub(crate) fn error(&self, key: &str, expected: &str) -> ConfigError {
         let pointer = format!("/{}/{key}", self.block);
         self.document.error(&pointer, expected)
@@ -33,7 +33,7 @@
 }
 
 impl Document {
-    /// Parses a file's text; `path` is what errors call it.
+    /// Parses a file's text; `path` names it in errors.
     pub(super) fn parse(path: &str, text: &str) -> Result<Self, ConfigError> {
         let body: Body = hcl_edit::parser::parse_body(text).map_err(|e| {
             let (line, message) = (e.location().line(), e.message());
@@ -50,7 +50,7 @@
         })
     }
 
-    /// The file's path, where there is one.
+    /// The file's path; `None` if there is no file.
     pub(super) fn path(&self) -> Option<&str> {
         Some(self.path.as_str()).filter(|path| !path.is_empty())
     }
@@ -62,12 +62,13 @@
         }
     }
 
-    /// Paths of the keys that differ in another document.
+    /// Returns the paths of the keys that differ in another document.
     pub(super) fn changed_keys(&self, other: &Document) -> Vec<String> {
         changed_paths(&self.root, &other.root)
     }
 
-    /// Makes the error that the value at a JSON pointer is another than expected.
+    /// Creates the error that the value at a JSON pointer is not the expected one. The line is that of the value's key, or of
+    /// its parent's.
     fn error(&self, pointer: &str, expected: &str) -> ConfigError {
         let line = self
             .lines
@@ -82,18 +83,19 @@
         ))
     }
 
+    /// Describes the value at a JSON pointer for an error message.
     fn describe(&self, pointer: &str) -> String {
         match self.root.pointer(pointer) {
             Some(Value::Object(_)) => "a block".to_owned(),
             Some(Value::Array(_)) => "several blocks or a list".to_owned(),
-            // Secrets stay out of logs.
+            // Keys are secret and must not get into logs.
             Some(_) if pointer.contains("/keys/") => "another text".to_owned(),
             Some(value) => format!("{value:.60}"),
             None => "nothing".to_owned(),
         }
     }
 
-    /// Makes the error for a value that violates the schema: what was expected of it, or which of its keys is unknown.
+    /// Creates the error for a value that violates the schema: what was expected of it, or which of its keys is unknown.
     pub(super) fn schema_violation(&self, schema: &Value, pointer: &str) -> ConfigError {
         let schema = subschema(schema, pointer);
         let known = schema["properties"].as_object();
@@ -109,10 +111,10 @@
     }
 }
 
-/// The schema of the value at a JSON pointer.
+/// Returns the schema of the value at a JSON pointer.
 fn subschema<'a>(schema: &'a Value, pointer: &str) -> &'a Value {
     pointer.split('/').skip(1).fold(schema, |schema, name| {
-        // An item of a list goes by its number.
+        // A number addresses an item of a list.
         let is_item = name.parse::<usize>().is_ok() && schema["items"].is_object();
         if is_item {
             &schema["items"]
@@ -122,13 +124,14 @@
     })
 }
 
-fn find_lines(lines: &mut BTreeMap<String, usize>, text: &str, within: &str, body: &Body) {
+/// Adds the lines of the body's keys and blocks; `parent` is the JSON pointer of the block with this body.
+fn find_lines(lines: &mut BTreeMap<String, usize>, text: &str, parent: &str, body: &Body) {
     for attribute in body.attributes() {
-        let pointer = format!("{within}/{}", attribute.key.as_str());
+        let pointer = format!("{parent}/{}", attribute.key.as_str());
         lines.insert(pointer, line_of(text, attribute.key.span()));
     }
     for block in body.blocks() {
-        let pointer = format!("{within}/{}", block.ident.as_str());
+        let pointer = format!("{parent}/{}", block.ident.as_str());
         lines
             .entry(pointer.clone())
             .or_insert_with(|| line_of(text, block.ident.span()));
--- a/crates/config/src/operator/sessions.rs
+++ b/crates/config/src/operator/sessions.rs
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first key that does not fit the others.
+    /// Names the first key that contradicts another one.
     pub(crate) fn session_tracking(
         &self,
         seed: u64,
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings object: the router's configuration and what the protocols need beside it.
+//! The settings object: the configuration of the router, and further values that the gateway and the bench adapter need.
 //!
-//! The keys of the settings are mapped to the field's terms here, and nowhere else.
+//! The keys of the settings are mapped to the terms of the router's API here and nowhere else.
 
 use std::time::Duration;
 
@@ -12,21 +12,23 @@
 
 use crate::value_path::{ConfigError, ValuePath};
 
+/// Length of a tick in microseconds.
 const MICROS_PER_TICK: u64 = 100;
-/// More gateways than any fleet has; nothing is held for each of them.
+/// Above the size of any fleet. No memory is allocated for each gateway.
 const MAX_GATEWAYS: usize = 100_000;
+/// 1 ms.
 const MIN_CONNECT_TIMEOUT: Ticks = 10;
 
-/// The settings, checked and completed.
+/// The settings, checked and completed with defaults.
 #[derive(Clone)]
 pub struct Settings {
     /// Configuration of the router.
     pub routing: RoutingConfig,
-    /// Unix milliseconds that count as position 0 on the bench's wire.
+    /// Unix time in milliseconds that is position 0 in the bench's protocol.
     pub epoch_ms: f64,
-    /// Index of the replication position in a load report.
+    /// Index of the replication position among the fields of a load report, if reports have one.
     pub position_field: Option<usize>,
-    /// Index of the role in a load report.
+    /// Index of the role among the fields of a load report, if reports have one.
     pub role_field: Option<usize>,
     /// Names of the request classes, by their indices.
     pub class_names: Vec<String>,
@@ -34,11 +36,11 @@
     pub tenant_names: Vec<String>,
     /// Names of the zones, by their indices.
     pub zone_names: Vec<String>,
-    /// How long opening a connection to a server may take.
+    /// Time limit for opening a connection to a server.
     pub connect_timeout: Ticks,
-    /// An answer that comes so long after the client's deadline still counts.
+    /// How long after a client's deadline an answer still counts.
     pub answer_slack: Ticks,
-    /// Servers close connections that have been idle for so long.
+    /// Time after which servers close an idle connection.
     pub server_idle_timeout: Ticks,
 }
 
@@ -52,29 +54,29 @@
     to_ticks(ms, f64::ceil)
 }
 
-/// Converts ticks to a duration; negative ones are zero.
+/// Converts ticks to a duration; negative ticks become zero.
 pub fn ticks_to_duration(ticks: Ticks) -> Duration {
     Duration::from_micros(ticks.max(0) as u64 * MICROS_PER_TICK)
 }
 
-/// A span in whole ticks, rounded down.
-pub fn duration_to_ticks(span: Duration) -> Ticks {
-    (span.as_micros() / u128::from(MICROS_PER_TICK)) as Ticks
+/// Converts a duration to ticks, rounded down.
+pub fn duration_to_ticks(duration: Duration) -> Ticks {
+    (duration.as_micros() / u128::from(MICROS_PER_TICK)) as Ticks
 }
 
-/// Converts milliseconds to ticks. The wire counts in microseconds, so a value that differs from a whole tick by less is
-/// taken as that tick.
-fn to_ticks(ms: f64, rounded: fn(f64) -> f64) -> Ticks {
-    let near = (ms * 10.0).round();
-    let exact = if (ms * 10.0 - near).abs() < 1e-3 {
-        near
+/// Converts milliseconds to ticks. Times on the wire are whole microseconds, so a value within 0.1 µs of a whole tick
+/// differs from it only by floating-point rounding, and is taken to be that tick.
+fn to_ticks(ms: f64, round: fn(f64) -> f64) -> Ticks {
+    let nearest = (ms * 10.0).round();
+    let ticks = if (ms * 10.0 - nearest).abs() < 1e-3 {
+        nearest
     } else {
-        rounded(ms * 10.0)
+        round(ms * 10.0)
     };
-    exact.clamp(-1e16, 1e16) as Ticks
+    ticks.clamp(-1e16, 1e16) as Ticks
 }
 
-/// Parses the text of a settings object; `seed` is that of the router's random draws.
+/// Parses the text of a settings object; `seed` is the seed of the router's random draws.
 ///
 /// # Errors
 ///
@@ -85,7 +87,7 @@
     from_value(seed, &ValuePath::root(&value))
 }
 
-/// Reads a settings object.
+/// Reads a parsed settings object; `seed` is the seed of the router's random draws.
 ///
 /// # Errors
 ///
@@ -113,7 +115,7 @@
     })
 }
 
-/// The sections of a settings object.
+/// The sections of a settings object that several values are read from.
 struct Sections<'a> {
     top: &'a ValuePath<'a>,
     family: ValuePath<'a>,
@@ -131,7 +133,7 @@
         }
     }
 
-    // The order in which keys are read decides which one an error names.
+    // The order in which keys are read decides which of several faulty ones an error names.
     fn routing(&self, seed: u64) -> Result<RoutingConfig, ConfigError> {
         let (top, family) = (self.top, &self.family);
         let gateways = top.get("balancers").integer(1, MAX_GATEWAYS)?;
@@ -172,8 +174,8 @@
         if levels.len() != classes.len() {
             return Err(read_level.error("one entry for each of grades"));
         }
-        let with_levels = classes.iter().zip(&levels).enumerate();
-        with_levels
+        let indexed = classes.iter().zip(&levels).enumerate();
+        indexed
             .map(|(index, (class, level))| request_class(class, level, bounds.get(index)))
             .collect()
     }
@@ -234,14 +236,14 @@
     key.value_or(false, ValuePath::boolean)
 }
 
-/// Reads milliseconds as ticks, rounded down; an absent key is `default_ms`.
+/// Reads milliseconds as ticks, rounded down; `default_ms` stands in for an absent key.
 fn floor_or(key: &ValuePath<'_>, default_ms: f64) -> Result<Ticks, ConfigError> {
     Ok(floor_ticks(
         key.value_or(default_ms, ValuePath::milliseconds)?,
     ))
 }
 
-/// The names of a list's items; one without a name has the empty one.
+/// The names of a list's items; an item without a name has the empty name.
 fn names(list: &ValuePath<'_>) -> Result<Vec<String>, ConfigError> {
     let items = list.items()?;
     let names = items.iter().map(|item| {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,6 +1,7 @@
 //! Types of the values in the operator's file: times, sizes, rates, keys and numbers.
 //!
-//! Each type has a pattern, which the schema check has enforced before a value is read.
+//! Each type has a pattern in the schema. The file is checked against the schema before a value is read, so that parsing a
+//! value does not report errors.
 
 use data_encoding::HEXLOWER;
 use leverpoint_backpressure::Ticks;
@@ -8,27 +9,27 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Defines the type of a number with a unit behind it.
+/// Defines the type of a number that is followed by its unit.
 macro_rules! unit {
-    ($name:ident, $of:ty, $pattern:literal, $expected:literal, $units:expr) => {
+    ($name:ident, $number:ty, $pattern:literal, $expected:literal, $units:expr) => {
         #[derive(Debug, Clone, Deserialize, Serialize, JsonSchema)]
         #[schemars(transparent, inline, extend("pattern" = $pattern, "x-expected" = $expected))]
         pub(crate) struct $name(String);
 
         impl $name {
-            /// Returns the value in the type's smallest unit.
-            pub(crate) fn value(&self) -> $of {
-                let at = self
+            /// Returns the value in the base unit: bytes a second, bytes, or ticks.
+            pub(crate) fn value(&self) -> $number {
+                let unit_start = self
                     .0
                     .find(|c: char| !c.is_ascii_digit())
                     .unwrap_or(self.0.len());
-                let (number, unit) = self.0.split_at(at);
-                let units: &[(&str, $of)] = $units;
+                let (number, unit) = self.0.split_at(unit_start);
+                let units: &[(&str, $number)] = $units;
                 let scale = units
                     .iter()
                     .find(|(name, _)| *name == unit)
                     .map_or(1, |(_, scale)| *scale);
-                number.parse::<$of>().unwrap_or_default() * scale
+                number.parse::<$number>().unwrap_or_default() * scale
             }
         }
     };
@@ -66,6 +67,7 @@
 pub(crate) struct HexNumber(String);
 
 impl HexNumber {
+    /// Returns the number; `None` only if the text does not match the pattern.
     pub(crate) fn value(&self) -> Option<u64> {
         u64::from_str_radix(&self.0, 16).ok()
     }
@@ -86,13 +88,13 @@
 );
 
 impl TimeSpan {
-    /// Returns the value, or `default` where none is stated.
+    /// Returns the value in ticks, or `default` if none is stated.
     pub(crate) fn value_or(stated: Option<&Self>, default: Ticks) -> Ticks {
         stated.map_or(default, TimeSpan::value)
     }
 }
 
-/// Returns the signing keys in their order; none where two have the same number.
+/// Returns the signing keys in their order; `None` if two have the same number.
 pub(crate) fn signing_keys(stated: &[Secret]) -> Option<Vec<Key>> {
     let mut keys: Vec<Key> = Vec::new();
     for Secret(text) in stated {
--- a/crates/config/src/value_path.rs
+++ b/crates/config/src/value_path.rs
@@ -1,4 +1,4 @@
-//! A value of a JSON document together with its path, so that an error can name it.
+//! Access to the values of a JSON document, with errors that name the value's path and what was expected.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 pub struct ConfigError(String);
 
 impl ConfigError {
-    /// Makes an error of its text.
+    /// Creates an error with this text, which is one line.
     pub fn new(text: impl Into<String>) -> Self {
         ConfigError(text.into())
     }
@@ -23,14 +23,14 @@
     }
 }
 
-/// A place in a document, with its value if there is one.
+/// A path in a document, with the value at it if there is one.
 pub struct ValuePath<'a> {
     path: String,
     value: Option<&'a Value>,
 }
 
 impl<'a> ValuePath<'a> {
-    /// Returns the root of a document.
+    /// Returns the path of the document itself.
     pub fn root(value: &'a Value) -> Self {
         ValuePath {
             path: String::new(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns the place of a key of this object; a null counts as no value.
+    /// Returns the path of a key of this object. Its value is absent if it is null, or if there is no such object or key.
     pub fn get(&self, name: &str) -> ValuePath<'a> {
         let dot = if self.path.is_empty() { "" } else { "." };
         let value = self
@@ -51,17 +51,17 @@
         }
     }
 
-    /// Returns the path from the root.
+    /// The path from the root, as in `report.names[0]`.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Returns the value, if there is one.
+    /// The value, if there is one.
     pub fn value(&self) -> Option<&'a Value> {
         self.value
     }
 
-    /// Makes the error that another value was expected here.
+    /// Creates the error for a value that is missing or not the expected one.
     pub fn error(&self, expected: &str) -> ConfigError {
         match self.value {
             None => ConfigError(format!(
@@ -82,7 +82,8 @@
         }
     }
 
-    fn need<T>(
+    /// Returns what `read` makes of the value; an error if it makes nothing of it, or if there is no value.
+    fn require<T>(
         &self,
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
@@ -92,11 +93,11 @@
             .ok_or_else(|| self.error(expected))
     }
 
-    /// Returns the value where there is one, else the default.
+    /// Returns what `read` makes of the value, or the default if there is none.
     ///
     /// # Errors
     ///
-    /// Fails where there is a value that can't be read.
+    /// Fails if `read` rejects the value.
     pub fn value_or<T>(
         &self,
         default: T,
@@ -111,48 +112,48 @@
 
     /// Returns the value as a string.
     pub fn string(&self) -> Result<&'a str, ConfigError> {
-        self.need("a text", Value::as_str)
+        self.require("a text", Value::as_str)
     }
 
     /// Returns the value as a boolean.
     pub fn boolean(&self) -> Result<bool, ConfigError> {
-        self.need("true or false", Value::as_bool)
+        self.require("true or false", Value::as_bool)
     }
 
     /// Returns the value as a number.
     pub fn number(&self) -> Result<f64, ConfigError> {
-        self.need("a number", Value::as_f64)
+        self.require("a number", Value::as_f64)
     }
 
     /// Returns the value as a finite number of 0 or more.
     pub fn non_negative(&self) -> Result<f64, ConfigError> {
-        self.need("a number of 0 or more", |v| {
+        self.require("a number of 0 or more", |v| {
             v.as_f64().filter(|n| n.is_finite() && *n >= 0.0)
         })
     }
 
-    /// Returns the value as a time span in milliseconds.
+    /// Returns the value as a time span in milliseconds, up to 1e12.
     pub fn milliseconds(&self) -> Result<f64, ConfigError> {
-        let possible = |n: &f64| (0.0..=1e12).contains(n);
-        self.need("milliseconds from 0 to 1e12", |v| {
-            v.as_f64().filter(possible)
+        let is_in_range = |n: &f64| (0.0..=1e12).contains(n);
+        self.require("milliseconds from 0 to 1e12", |v| {
+            v.as_f64().filter(is_in_range)
         })
     }
 
     /// Returns the value as an integer between two bounds, both included.
-    pub fn integer(&self, least: usize, most: usize) -> Result<usize, ConfigError> {
+    pub fn integer(&self, min: usize, max: usize) -> Result<usize, ConfigError> {
         let read = |v: &Value| {
             v.as_u64()
                 .map(|n| n as usize)
-                .filter(|n| (least..=most).contains(n))
+                .filter(|n| (min..=max).contains(n))
         };
-        self.need(&format!("a whole number from {least} to {most}"), read)
+        self.require(&format!("a whole number from {min} to {max}"), read)
     }
 
-    /// Returns the choice that the value names.
+    /// Returns the item of `choices` that the value names.
     pub fn choice<T: Copy>(&self, choices: &[(&str, T)]) -> Result<T, ConfigError> {
         let names: Vec<_> = choices.iter().map(|c| c.0).collect();
-        self.need(&format!("one of {}", names.join(", ")), |v| {
+        self.require(&format!("one of {}", names.join(", ")), |v| {
             choices
                 .iter()
                 .find(|c| v.as_str() == Some(c.0))
@@ -160,7 +161,7 @@
         })
     }
 
-    /// Returns the value as a list of strings; an absent one is empty.
+    /// Returns the value as a list of strings; an absent list is empty.
     pub fn strings(&self) -> Result<Vec<String>, ConfigError> {
         self.items()?
             .iter()
@@ -168,7 +169,7 @@
             .collect()
     }
 
-    /// Returns the places of a list's items; an absent list is empty.
+    /// Returns the paths of a list's items; an absent list is empty.
     pub fn items(&self) -> Result<Vec<ValuePath<'a>>, ConfigError> {
         let list = match self.value {
             None => return Ok(Vec::new()),
@@ -182,14 +183,14 @@
     }
 }
 
-/// Returns the paths of all values that differ between two documents.
+/// Returns the paths of all values that differ between two documents. Objects are compared key by key, lists as a whole.
 pub(crate) fn changed_paths(old: &Value, new: &Value) -> Vec<String> {
     let mut paths = Vec::new();
-    add_changed(&mut paths, &ValuePath::root(old), &ValuePath::root(new));
+    add_changed_paths(&mut paths, &ValuePath::root(old), &ValuePath::root(new));
     paths
 }
 
-fn add_changed(paths: &mut Vec<String>, old: &ValuePath<'_>, new: &ValuePath<'_>) {
+fn add_changed_paths(paths: &mut Vec<String>, old: &ValuePath<'_>, new: &ValuePath<'_>) {
     let old_keys = old.value().and_then(Value::as_object);
     let new_keys = new.value().and_then(Value::as_object);
     let (Some(old_keys), Some(new_keys)) = (old_keys, new_keys) else {
@@ -200,6 +201,6 @@
     };
     let added = new_keys.keys().filter(|key| !old_keys.contains_key(*key));
     for key in old_keys.keys().chain(added) {
-        add_changed(paths, &old.get(key), &new.get(key));
+        add_changed_paths(paths, &old.get(key), &new.get(key));
     }
 }
--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,48 +1,52 @@
-//! The operator's file: the configuration it results in, and the one line of each error.
+//! The operator's file: the configuration that it results in, and the error for each invalid file.
 
 use leverpoint_backpressure::Limits;
 use leverpoint_backpressure::limits::MachineResources;
 use leverpoint_config::operator::{self, OperatorConfig};
 
-const LONGEST: usize = 136 << 10;
+const LONGEST_MESSAGE: usize = 136 << 10;
 
-fn limits() -> Limits {
+fn default_limits() -> Limits {
     let (memory, sockets) = (32 << 20, 1_024);
     Limits::from_resources(&MachineResources {
         memory,
         sockets,
         unclaimed: 8 << 10,
-        longest: LONGEST,
+        longest: LONGEST_MESSAGE,
         connect: 2_500,
     })
 }
 
-fn read(text: &str) -> Result<OperatorConfig, String> {
-    operator::from_text("operator.hcl", text).map_err(|fault| fault.to_string())
+fn parse(text: &str) -> Result<OperatorConfig, String> {
+    operator::from_text("operator.hcl", text).map_err(|error| error.to_string())
 }
 
 #[test]
 fn stated_limits_override_those_that_follow_from_the_machine() {
     assert_eq!(
-        read("")
+        parse("")
             .unwrap()
-            .backpressure_limits(limits(), LONGEST)
+            .backpressure_limits(default_limits(), LONGEST_MESSAGE)
             .unwrap(),
-        limits()
+        default_limits()
     );
     let text = "# phones\nslow {\n  least_rate = \"4KiB/s\"\n  grace = \"1500ms\"\n  stall = \"2s\"\n  all = \"2MiB\"\n}\n";
-    let caps = read(text)
+    let overridden = parse(text)
         .unwrap()
-        .backpressure_limits(limits(), LONGEST)
+        .backpressure_limits(default_limits(), LONGEST_MESSAGE)
         .unwrap();
     assert_eq!(
-        (caps.min_rate, caps.grace, caps.stall_timeout),
+        (
+            overridden.min_rate,
+            overridden.grace,
+            overridden.stall_timeout
+        ),
         (4 << 10, 15_000, 20_000)
     );
     assert!(
-        caps.unproven_total <= caps.total
-            && caps.slow_total <= caps.unproven_total
-            && caps.total == 2 << 20
+        overridden.unproven_total <= overridden.total
+            && overridden.slow_total <= overridden.unproven_total
+            && overridden.total == 2 << 20
     );
 }
 
@@ -65,13 +69,13 @@
     ];
     let mut out = String::new();
     for text in texts {
-        let read = read(text).and_then(|o| {
-            o.backpressure_limits(limits(), LONGEST)
-                .map_err(|f| f.to_string())
+        let result = parse(text).and_then(|o| {
+            o.backpressure_limits(default_limits(), LONGEST_MESSAGE)
+                .map_err(|e| e.to_string())
         });
         out += &format!(
             "{}\n",
-            read.expect_err(text).lines().next().unwrap_or_default()
+            result.expect_err(text).lines().next().unwrap_or_default()
         );
     }
     insta::assert_snapshot!(out);
@@ -79,41 +83,41 @@
 
 #[test]
 fn changed_keys_names_the_keys_that_differ() {
-    let one = read("slow {\n  grace = \"2s\"\n  kernel = \"16KiB\"\n}").unwrap();
-    let two = read("slow {\n  grace = \"3s\"\n  stall = \"1s\"\n  kernel = \"16KiB\"\n}").unwrap();
-    assert_eq!(one.changed_keys(&two), ["slow.grace", "slow.stall"]);
+    let old = parse("slow {\n  grace = \"2s\"\n  kernel = \"16KiB\"\n}").unwrap();
+    let new = parse("slow {\n  grace = \"3s\"\n  stall = \"1s\"\n  kernel = \"16KiB\"\n}").unwrap();
+    assert_eq!(old.changed_keys(&new), ["slow.grace", "slow.stall"]);
 }
 
 #[test]
 fn an_incomplete_members_block_is_rejected_by_its_key() {
     let key = "7:00112233445566778899aabbccddeeff";
-    let base = |more: &str| {
+    let members_block = |more_keys: &str| {
         format!(
-            "members {{\n  listen = \"127.0.0.1:7432\"\n  fleet = \"f\"\n  keys = [\"{key}\"]\n{more}}}"
+            "members {{\n  listen = \"127.0.0.1:7432\"\n  fleet = \"f\"\n  keys = [\"{key}\"]\n{more_keys}}}"
         )
     };
-    let member = |text: &str| {
-        read(text).and_then(|o| o.membership("n0", "a", 256).map_err(|f| f.to_string()))
+    let membership = |text: &str| {
+        parse(text).and_then(|o| o.membership("n0", "a", 256).map_err(|e| e.to_string()))
     };
-    assert!(member("").unwrap().is_none());
-    let whole = member(&base(
+    assert!(membership("").unwrap().is_none());
+    let settings = membership(&members_block(
         "  beat = \"100ms\"\n  seeds = [\"127.0.0.1:7433\"]\n",
     ))
     .unwrap()
     .unwrap();
     assert_eq!(
         (
-            whole.config.probe_interval,
-            whole.config.probe_timeout,
-            whole.config.join_delay
+            settings.config.probe_interval,
+            settings.config.probe_timeout,
+            settings.config.join_delay
         ),
         (1_000, 300, 4_000)
     );
     assert_eq!(
         (
-            whole.zone.as_str(),
-            whole.machine.as_str(),
-            whole.max_connections
+            settings.zone.as_str(),
+            settings.machine.as_str(),
+            settings.max_connections
         ),
         ("a", "n0", 16)
     );
@@ -122,28 +126,28 @@
         "members {\n  listen = \"0.0.0.0:7432\"\n}".to_owned(),
         "members {\n  listen = \"127.0.0.1:7432\"\n}".to_owned(),
         "members {\n  listen = \"127.0.0.1:7432\"\n  fleet = \"f\"\n}".to_owned(),
-        base("  seeds = [\"n1\"]\n"),
-        base("  reach = { n1 = \"n1\" }\n"),
-        base("  beat = \"10ms\"\n"),
-        base("  beat = 100\n"),
-        base("  founders = [\"\"]\n"),
-        base("  connections = 100\n"),
-        base("  connections = 2\n"),
-        base("  address = \"127.0.0.1:0\"\n"),
-        base("  zones = 3\n"),
-        base("").replace(&format!("\"{key}\""), &format!("\"{key}\", \"{key}\"")),
-        base("").replace(key, "seven"),
+        members_block("  seeds = [\"n1\"]\n"),
+        members_block("  reach = { n1 = \"n1\" }\n"),
+        members_block("  beat = \"10ms\"\n"),
+        members_block("  beat = 100\n"),
+        members_block("  founders = [\"\"]\n"),
+        members_block("  connections = 100\n"),
+        members_block("  connections = 2\n"),
+        members_block("  address = \"127.0.0.1:0\"\n"),
+        members_block("  zones = 3\n"),
+        members_block("").replace(&format!("\"{key}\""), &format!("\"{key}\", \"{key}\"")),
+        members_block("").replace(key, "seven"),
     ];
-    let faults: Vec<String> = texts
+    let errors: Vec<String> = texts
         .iter()
-        .map(|text| member(text).expect_err(text))
+        .map(|text| membership(text).expect_err(text))
         .collect();
-    insta::assert_snapshot!(faults.join("\n"));
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
 fn lists_of_1_024_members_are_accepted_and_one_more_is_rejected_by_its_key() {
-    let file = |seeds: usize, founders: usize, reach: usize| {
+    let members_file = |seeds: usize, founders: usize, reach: usize| {
         let address = |n: usize| format!("10.0.{}.{}:7432", n / 250, n % 250 + 1);
         let seeds: Vec<_> = (0..seeds).map(|n| format!("{:?}", address(n))).collect();
         let founders: Vec<_> = (0..founders).map(|n| format!("\"n{n}\"")).collect();
@@ -158,37 +162,39 @@
             founders.join(", "),
         )
     };
-    let member = |text: &str| {
-        read(text).and_then(|o| o.membership("n0", "a", 4096).map_err(|f| f.to_string()))
+    let membership = |text: &str| {
+        parse(text).and_then(|o| o.membership("n0", "a", 4096).map_err(|e| e.to_string()))
     };
-    let whole = member(&file(1_024, 1_024, 1_024)).unwrap().unwrap();
+    let settings = membership(&members_file(1_024, 1_024, 1_024))
+        .unwrap()
+        .unwrap();
     assert_eq!(
         (
-            whole.seeds.len(),
-            whole.founders.len(),
-            whole.address_overrides.len()
+            settings.seeds.len(),
+            settings.founders.len(),
+            settings.address_overrides.len()
         ),
         (1_024, 1_024, 1_024)
     );
-    assert!(whole.config.max_members >= 1_024);
-    let layout = leverpoint_membership::layout::Layout::from_founders(&whole.founders);
+    assert!(settings.config.max_members >= 1_024);
+    let layout = leverpoint_membership::layout::Layout::from_founders(&settings.founders);
     assert!(layout.is_valid() && layout.holders.len() == 1_024);
     for (text, key) in [
         (
-            file(1_025, 1, 1),
+            members_file(1_025, 1, 1),
             "members.seeds: expected a list of up to 1024 addresses",
         ),
         (
-            file(1, 1_025, 1),
+            members_file(1, 1_025, 1),
             "members.founders: expected a list of up to 1024 names",
         ),
         (
-            file(1, 1, 1_025),
+            members_file(1, 1, 1_025),
             "members.reach: expected up to 1024 addresses",
         ),
     ] {
-        let fault = member(&text).unwrap_err();
-        assert!(fault.contains(key), "{fault:.200}");
+        let error = membership(&text).unwrap_err();
+        assert!(error.contains(key), "{error:.200}");
     }
 }
 
@@ -205,14 +211,14 @@
     ];
     let mut out = String::new();
     for text in &texts {
-        let read = read(text).and_then(|o| o.replication(20_000).map_err(|f| f.to_string()));
-        out += &format!("{}\n", read.expect_err(text));
+        let result = parse(text).and_then(|o| o.replication(20_000).map_err(|e| e.to_string()));
+        out += &format!("{}\n", result.expect_err(text));
     }
-    let whole = read(&format!(
+    let config = parse(&format!(
         "{members}{sessions}copies {{\n  on = true\n  waits = \"20ms\"\n}}"
     ))
     .unwrap();
-    out += &format!("{:?}\n", whole.replication(20_000).unwrap().unwrap());
-    assert!(read("").unwrap().replication(20_000).unwrap().is_none());
+    out += &format!("{:?}\n", config.replication(20_000).unwrap().unwrap());
+    assert!(parse("").unwrap().replication(20_000).unwrap().is_none());
     insta::assert_snapshot!(out);
 }
