--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -1,6 +1,7 @@
 //! One instance of the decision module, driven by the events of the bench.
 //!
-//! The module addresses servers, replica sets, requests and sessions by small indices; they are assigned and released here.
+//! The module addresses servers, replica sets, requests and sessions by small indices; they are assigned and released
+//! here.
 
 use leverpoint_routing::api::{
     Action, AttemptOutcome, Consistency, Endpoint, EndpointState, EndpointUpdate,
--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -1,8 +1,9 @@
-//! The binary protocol between the bench and the adapter: batches of events in, one reply of actions for each batch out.
+//! The binary protocol between the bench and the adapter: batches of events in, one reply of actions for each batch
+//! out.
 //!
-//! All numbers are little-endian. A record begins with its code, a `u16`. An incoming batch has a header of 16 bytes: its
-//! number, the length of what follows the length field, and the clock. A reply has a header of 12 bytes: the batch's
-//! number, the number of records, and their length in bytes.
+//! All numbers are little-endian. A record begins with its code, a `u16`. An incoming batch has a header of 16 bytes:
+//! its number, the length of what follows the length field, and the clock. A reply has a header of 12 bytes: the
+//! batch's number, the number of records, and their length in bytes.
 
 use std::fmt;
 use std::io::{self, Read, Write};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads and checks all configuration, and completes it with defaults.
 //!
-//! [`settings`] reads the settings object, which both the bench adapter and the gateway receive; [`node`] reads a gateway's
-//! own configuration; [`operator`] reads the operator's file, with a module for each of its blocks. Every error names the
-//! key and what was expected of it.
+//! [`settings`] reads the settings object, which both the bench adapter and the gateway receive; [`node`] reads a
+//! gateway's own configuration; [`operator`] reads the operator's file, with a module for each of its blocks. Every
+//! error names the key and what was expected of it.
 //!
 //! # Invariants
 //!
--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -34,8 +34,8 @@
     pub discovery: SocketAddr,
     /// Resource limits of the process.
     pub limits: Limits,
-    /// The last known endpoint list, in the format of discovery. It is kept as text, since the parsed tree takes many times as
-    /// much memory.
+    /// The last known endpoint list, in the format of discovery. It is kept as text, since the parsed tree takes many
+    /// times as much memory.
     pub known_endpoints: Option<Box<RawValue>>,
     /// The settings object, checked and completed.
     pub settings: Settings,
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -89,7 +89,8 @@
         self.document.path()
     }
 
-    /// Returns the limits for slow clients: `defaults`, which follow from the machine, overridden by what the file states.
+    /// Returns the limits for slow clients: `defaults`, which follow from the machine, overridden by what the file
+    /// states.
     ///
     /// # Errors
     ///
@@ -105,8 +106,8 @@
             .limits(defaults, longest_message, &context)
     }
 
-    /// Returns how sessions are tracked; `None` if they are not. `seed` is the secret of the hash that numbers them if the
-    /// file has none.
+    /// Returns how sessions are tracked; `None` if they are not. `seed` is the secret of the hash that numbers them if
+    /// the file has none.
     ///
     /// # Errors
     ///
@@ -137,8 +138,8 @@
         self.blocks.membership.membership(&process, &context)
     }
 
-    /// Returns how this gateway's state is replicated; `None` if it is not. `longest_timeout` is the longest time that a
-    /// client waits or a retry is deduplicated.
+    /// Returns how this gateway's state is replicated; `None` if it is not. `longest_timeout` is the longest time that
+    /// a client waits or a retry is deduplicated.
     ///
     /// # Errors
     ///
--- a/crates/config/src/operator/document.rs
+++ b/crates/config/src/operator/document.rs
@@ -67,8 +67,8 @@
         changed_paths(&self.root, &other.root)
     }
 
-    /// Creates the error that the value at a JSON pointer is not the expected one. The line is that of the value's key, or of
-    /// its parent's.
+    /// Creates the error that the value at a JSON pointer is not the expected one. The line is that of the value's key,
+    /// or of its parent's.
     fn error(&self, pointer: &str, expected: &str) -> ConfigError {
         let line = self
             .lines
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Creates the error for a value that violates the schema: what was expected of it, or which of its keys is unknown.
+    /// Creates the error for a value that violates the schema: what was expected of it, or which of its keys is
+    /// unknown.
     pub(super) fn schema_violation(&self, schema: &Value, pointer: &str) -> ConfigError {
         let schema = subschema(schema, pointer);
         let known = schema["properties"].as_object();
--- a/crates/config/src/operator/replication.rs
+++ b/crates/config/src/operator/replication.rs
@@ -1,5 +1,5 @@
-//! The block `copies`: whether and how this gateway's state is replicated at other members of its fleet. Fields have the
-//! terms of `leverpoint-replication`.
+//! The block `copies`: whether and how this gateway's state is replicated at other members of its fleet. Fields have
+//! the terms of `leverpoint-replication`.
 
 use std::fmt;
 
--- a/crates/config/src/operator/sessions.rs
+++ b/crates/config/src/operator/sessions.rs
@@ -73,8 +73,8 @@
     pub keys: Keys,
     /// Secret of the hash that numbers sessions.
     pub hash_secret: u64,
-    /// Folder in which positions are persisted, and the interval of commits: a crash loses at most the positions of that
-    /// span and of one commit.
+    /// Folder in which positions are persisted, and the interval of commits: a crash loses at most the positions of
+    /// that span and of one commit.
     pub disk: Option<(String, Duration)>,
 }
 
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings object: the configuration of the router, and further values that the gateway and the bench adapter need.
+//! The settings object: the configuration of the router, and further values that the gateway and the bench adapter
+//! need.
 //!
 //! The keys of the settings are mapped to the terms of the router's API here and nowhere else.
 
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,7 +1,7 @@
 //! Types of the values in the operator's file: times, sizes, rates, keys and numbers.
 //!
-//! Each type has a pattern in the schema. The file is checked against the schema before a value is read, so that parsing a
-//! value does not report errors.
+//! Each type has a pattern in the schema. The file is checked against the schema before a value is read, so that
+//! parsing a value does not report errors.
 
 use data_encoding::HEXLOWER;
 use leverpoint_backpressure::Ticks;
--- a/crates/config/src/value_path.rs
+++ b/crates/config/src/value_path.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Returns the path of a key of this object. Its value is absent if it is null, or if there is no such object or key.
+    /// Returns the path of a key of this object. Its value is absent if it is null, or if there is no such object or
+    /// key.
     pub fn get(&self, name: &str) -> ValuePath<'a> {
         let dot = if self.path.is_empty() { "" } else { "." };
         let value = self
@@ -183,7 +184,8 @@
     }
 }
 
-/// Returns the paths of all values that differ between two documents. Objects are compared key by key, lists as a whole.
+/// Returns the paths of all values that differ between two documents. Objects are compared key by key, lists as a
+/// whole.
 pub(crate) fn changed_paths(old: &Value, new: &Value) -> Vec<String> {
     let mut paths = Vec::new();
     add_changed_paths(&mut paths, &ValuePath::root(old), &ValuePath::root(new));
--- a/crates/peer-transport/src/connection.rs
+++ b/crates/peer-transport/src/connection.rs
@@ -12,7 +12,7 @@
 
 use crate::frame::{self, FrameError, Message, encode_message};
 
-/// Frames queued for one peer at most; the oldest is dropped for a new one, as messages are soon outdated.
+/// Maximum number of frames queued for one peer. The oldest is dropped for a new one, as messages are soon outdated.
 const MAX_QUEUED_FRAMES: usize = 128;
 /// Size of the buffer of one read.
 const READ_BUFFER_BYTES: usize = 16 << 10;
--- a/crates/peer-transport/src/connections.rs
+++ b/crates/peer-transport/src/connections.rs
@@ -32,11 +32,12 @@
 
 /// Time limit of connecting, of the handshake, and of each write.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A connection unused for so long is closed. In large fleets a peer is probed about once a minute.
+/// Time after which an unused connection is closed. It is above a minute, as in large fleets a peer is probed about
+/// once a minute.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Connections with an unfinished handshake at most; further ones are not accepted.
+/// Maximum number of connections with an unfinished handshake; further ones are not accepted.
 const MAX_PENDING_HANDSHAKES: usize = 32;
 
 /// Receives each message with the connection that it came on, over which a response can be sent.
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -45,9 +45,9 @@
 /// A request of an operator's command to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminRequest {
-    /// The members it knows.
+    /// The members that it knows.
     Members,
-    /// Removal of a holder that will not come back from the layout.
+    /// Removal of a holder that will not return, from the layout.
     Remove {
         /// The holder's name.
         name: String,
@@ -68,7 +68,7 @@
 pub enum AdminResponse {
     /// The members known.
     Members {
-        /// The member's own standing, as [`status_name`] has it.
+        /// The member's own status, as [`status_name`] spells it.
         status: String,
         /// Version of its layout.
         layout_version: u64,
@@ -223,7 +223,7 @@
     Ok(value)
 }
 
-/// The word by which a member's own standing is shown to operators and sent in [`AdminResponse::Members`].
+/// The name of a member's own status as operators see it and as [`AdminResponse::Members`] has it.
 pub fn status_name(status: MembershipStatus) -> String {
     let name = match status {
         MembershipStatus::Joining => "joining",
--- a/crates/peer-transport/src/membership_runtime.rs
+++ b/crates/peer-transport/src/membership_runtime.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariants
 //!
-//! The state machine is told that state is persisted only once its store has said so.
+//! The state machine is told that a state is persisted only after the store has reported it.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 
 /// A replication service attached to a member. Calls arrive on the member's own task.
 pub trait ReplicationService {
-    /// The member's layout, standing or incarnation may have changed.
+    /// The member's layout, status or incarnation may have changed.
     fn on_membership_changed(self: Rc<Self>, member: &MemberRuntime);
     /// The member has learnt of an incarnation of another.
     fn on_incarnation_seen(self: Rc<Self>, name: &str, incarnation: Incarnation);
@@ -68,7 +68,7 @@
     pub on_event: Box<dyn Fn(&MembershipEvent)>,
 }
 
-/// A running member.
+/// A member as it runs: drives the [`Member`] state machine with time and messages.
 pub struct MemberRuntime {
     member: RefCell<Member>,
     /// Its connections to other members.
@@ -293,12 +293,12 @@
         self.perform(actions);
     }
 
-    /// The member's own standing in the fleet.
+    /// The member's own status in the fleet.
     pub fn status(&self) -> MembershipStatus {
         self.member.borrow().status()
     }
 
-    /// Reads the member's state.
+    /// Calls `read` with the state machine.
     pub fn with_member<T>(&self, read: impl FnOnce(&Member) -> T) -> T {
         read(&self.member.borrow())
     }
--- a/crates/peer-transport/src/replication_runtime.rs
+++ b/crates/peer-transport/src/replication_runtime.rs
@@ -31,7 +31,7 @@
     fn persist(
         &self,
         records: Vec<Record>,
-        meta: Option<PersistedMetadata>,
+        metadata: Option<PersistedMetadata>,
         then: Box<dyn FnOnce(bool)>,
     );
 }
@@ -43,7 +43,7 @@
     QuorumAcknowledged(IdempotencyDecision),
     /// It may be sent without a quorum's acknowledgement.
     WithoutQuorum,
-    /// It is rejected, to be retried after so long at the earliest.
+    /// It is rejected; the time after which it may be retried.
     Rejected(Ticks),
 }
 
@@ -54,14 +54,14 @@
     LookUp(Box<dyn FnOnce(Option<Record>, bool)>),
 }
 
-/// Running replication.
+/// The replication of one member as it runs: drives the [`Replicator`] with time, messages and requests.
 pub struct ReplicationRuntime {
     replicator: RefCell<Replicator>,
     member: Weak<MemberRuntime>,
     started: Instant,
     started_unix: Duration,
     wake: Notify,
-    /// When the timer task wakes by itself.
+    /// When the timer task wakes next unless it is notified.
     armed_for: Cell<Ticks>,
     pending: RefCell<BTreeMap<u64, PendingRequest>>,
     last_ticket: Cell<u64>,
@@ -76,12 +76,12 @@
     /// `persisted` holds what an earlier incarnation with the same storage has stored.
     pub fn start(
         member: &Rc<MemberRuntime>,
-        terms: ReplicationConfig,
+        config: ReplicationConfig,
         persisted: Option<RecoveredState>,
         store: Option<Box<dyn ReplicationStore>>,
         on_event: Box<dyn Fn(&ReplicationEvent)>,
     ) -> Rc<ReplicationRuntime> {
-        let me = member.with_member(|member| {
+        let local_member = member.with_member(|member| {
             let info = &member.local().info;
             LocalMember {
                 name: info.name.clone(),
@@ -90,7 +90,7 @@
             }
         });
         let started_unix = unix();
-        let replicator = Replicator::new(to_ticks(started_unix), me, terms, persisted);
+        let replicator = Replicator::new(to_ticks(started_unix), local_member, config, persisted);
         let runtime = Rc::new(ReplicationRuntime {
             replicator: RefCell::new(replicator),
             member: Rc::downgrade(member),
@@ -109,7 +109,7 @@
         runtime
     }
 
-    /// Unix time at the start, advanced by the monotonic clock from then on.
+    /// The Unix time at the start plus the monotonic time since then, so that steps of the wall clock have no effect.
     pub fn now(&self) -> Ticks {
         to_ticks(self.started_unix + since(self.started))
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Draws a ticket, under which `request` waits if there is one.
+    /// Assigns the next ticket, under which `request` waits for its result.
     fn new_ticket(&self, request: PendingRequest) -> u64 {
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
@@ -146,7 +146,7 @@
         self: &Rc<Self>,
         session: u64,
         claim: Option<IdempotencyClaim>,
-        most: Ticks,
+        timeout: Ticks,
         then: Box<dyn FnOnce(u64, WriteClearance)>,
     ) -> u64 {
         let ticket = self.new_ticket(PendingRequest::Write(then));
@@ -154,18 +154,18 @@
         let actions = self
             .replicator
             .borrow_mut()
-            .begin_write(now, ticket, session, claim, most);
+            .begin_write(now, ticket, session, claim, timeout);
         self.perform(actions);
         ticket
     }
 
-    /// The write of this ticket has finished, or is not sent at all.
-    pub fn on_write_finished(self: &Rc<Self>, ticket: u64, came: WriteOutcome) {
+    /// Reports that the write of this ticket has finished, or that it is not sent at all.
+    pub fn on_write_finished(self: &Rc<Self>, ticket: u64, outcome: WriteOutcome) {
         self.pending.borrow_mut().remove(&ticket);
         let actions = self
             .replicator
             .borrow_mut()
-            .finish_write(self.now(), ticket, came);
+            .finish_write(self.now(), ticket, outcome);
         self.perform(actions);
     }
 
@@ -173,39 +173,39 @@
     pub fn request_read(
         self: &Rc<Self>,
         session: u64,
-        most: Ticks,
+        timeout: Ticks,
         then: Box<dyn FnOnce(Option<Ticks>)>,
     ) {
         let ticket = self.new_ticket(PendingRequest::Read(then));
-        let actions = self
-            .replicator
-            .borrow_mut()
-            .read_session(self.now(), ticket, session, most);
+        let actions =
+            self.replicator
+                .borrow_mut()
+                .read_session(self.now(), ticket, session, timeout);
         self.perform(actions);
     }
 
     /// Looks up a record; `then` receives it and whether a quorum has confirmed it.
     pub fn look_up(
         self: &Rc<Self>,
-        kind: RecordKey,
-        waits: Ticks,
+        key: RecordKey,
+        timeout: Ticks,
         then: Box<dyn FnOnce(Option<Record>, bool)>,
     ) {
         let ticket = self.new_ticket(PendingRequest::LookUp(then));
         let actions = self
             .replicator
             .borrow_mut()
-            .read_record(self.now(), ticket, kind, waits);
+            .read_record(self.now(), ticket, key, timeout);
         self.perform(actions);
     }
 
-    /// Sends a record to its holders.
+    /// Sends a record to its replica holders.
     pub fn publish(self: &Rc<Self>, record: &Record) {
         let actions = self.replicator.borrow_mut().publish(self.now(), record);
         self.perform(actions);
     }
 
-    /// Whether holders can be reached.
+    /// Whether replica holders can be reached.
     pub fn is_ready(&self) -> bool {
         self.replicator.borrow().is_ready(self.now())
     }
@@ -226,11 +226,11 @@
                 }
                 Action::Notify(event) => (self.on_event)(&event),
                 Action::Persist {
-                    sequence: number,
+                    sequence,
                     records,
-                    metadata: meta,
-                } => self.persist(number, records, meta),
-                Action::Complete(done) => self.complete(done),
+                    metadata,
+                } => self.persist(sequence, records, metadata),
+                Action::Complete(completion) => self.complete(completion),
             }
         }
         if self.replicator.borrow().next_deadline() < self.armed_for.get() {
@@ -240,24 +240,24 @@
 
     fn persist(
         self: &Rc<Self>,
-        number: u64,
+        sequence: u64,
         records: Vec<Record>,
-        meta: Option<PersistedMetadata>,
+        metadata: Option<PersistedMetadata>,
     ) {
         let Some(store) = &self.store else {
             // Without a store the storage ends with the process, so everything counts as persisted.
-            return self.on_persist_finished(number, true);
+            return self.on_persist_finished(sequence, true);
         };
         let runtime = self.clone();
-        let then = move |succeeded| runtime.on_persist_finished(number, succeeded);
-        store.persist(records, meta, Box::new(then));
+        let then = move |succeeded| runtime.on_persist_finished(sequence, succeeded);
+        store.persist(records, metadata, Box::new(then));
     }
 
-    fn on_persist_finished(self: &Rc<Self>, number: u64, succeeded: bool) {
+    fn on_persist_finished(self: &Rc<Self>, sequence: u64, succeeded: bool) {
         let actions = if succeeded {
             self.replicator
                 .borrow_mut()
-                .on_persisted(self.now(), number)
+                .on_persisted(self.now(), sequence)
         } else {
             self.replicator.borrow_mut().on_persist_failed()
         };
@@ -265,11 +265,11 @@
     }
 
     /// Passes the result of a request to its callback.
-    fn complete(&self, done: Completion) {
+    fn complete(&self, completion: Completion) {
         use PendingRequest::{LookUp, Read, Write};
-        let ticket = done.ticket();
+        let ticket = completion.ticket();
         let request = self.pending.borrow_mut().remove(&ticket);
-        match (request, done) {
+        match (request, completion) {
             (Some(Write(then)), Completion::QuorumAcknowledged { decision, .. }) => {
                 then(ticket, WriteClearance::QuorumAcknowledged(decision));
             }
@@ -287,12 +287,12 @@
         }
     }
 
-    /// All counters and gauges in one line of `name=value` pairs.
+    /// All counters and gauges of replication in one line of `name=value` pairs.
     pub fn metrics_line(&self) -> String {
         self.replicator.borrow().metrics_line(self.now())
     }
 
-    /// Reads the state machine's state.
+    /// Calls `read` with the state machine.
     pub fn with_replicator<T>(&self, read: impl FnOnce(&Replicator) -> T) -> T {
         read(&self.replicator.borrow())
     }
--- a/crates/peer-transport/tests/link.rs
+++ b/crates/peer-transport/tests/link.rs
@@ -1,4 +1,5 @@
-//! What the transport accepts from a peer that is foreign, newer, replays frames, or sends arbitrary bytes.
+//! What the transport accepts from a peer that belongs to another fleet, is newer, replays frames, or sends arbitrary
+//! bytes.
 
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -60,21 +61,28 @@
 #[test]
 fn a_frame_is_valid_once_on_its_own_connection_and_direction() {
     let keys = keys(1);
-    let mut out = SecureChannel::new(5, 6, Direction::FromOpener);
+    let mut sender = SecureChannel::new(5, 6, Direction::FromOpener);
     let frames: Vec<_> = (0..3)
         .map(|_| {
             body(
-                &out.encode(&keys, &encode_message(&request()).unwrap())
+                &sender
+                    .encode(&keys, &encode_message(&request()).unwrap())
                     .unwrap(),
             )
         })
         .collect();
-    let mut there = SecureChannel::new(5, 6, Direction::FromOpener);
-    assert_eq!(there.decode(&keys, &frames[0]), Ok(request()));
-    assert_eq!(there.decode(&keys, &frames[0]), Err(FrameError::Replayed));
+    let mut receiver = SecureChannel::new(5, 6, Direction::FromOpener);
+    assert_eq!(receiver.decode(&keys, &frames[0]), Ok(request()));
+    assert_eq!(
+        receiver.decode(&keys, &frames[0]),
+        Err(FrameError::Replayed)
+    );
     // A frame that arrives late is dropped.
-    assert_eq!(there.decode(&keys, &frames[2]), Ok(request()));
-    assert_eq!(there.decode(&keys, &frames[1]), Err(FrameError::Replayed));
+    assert_eq!(receiver.decode(&keys, &frames[2]), Ok(request()));
+    assert_eq!(
+        receiver.decode(&keys, &frames[1]),
+        Err(FrameError::Replayed)
+    );
     for mut other in [
         SecureChannel::new(5, 6, Direction::FromAcceptor),
         SecureChannel::new(5, 7, Direction::FromOpener),
@@ -91,21 +99,21 @@
     ));
     // A repeated greeting.
     let greeting = body(&encode_hello(&keys, &hello(5)).unwrap());
-    assert_eq!(there.decode(&keys, &greeting), Err(FrameError::Replayed));
+    assert_eq!(receiver.decode(&keys, &greeting), Err(FrameError::Replayed));
 }
 
 #[test]
 fn a_newer_peer_is_compatible_and_its_additions_are_ignored() {
     let keys = keys(1);
-    let read =
+    let decode =
         |hello: &Hello| decode_hello(&keys, &body(&encode_hello(&keys, hello).unwrap()), "f");
     let newer = Hello {
         max_version: 9,
         ..hello(5)
     };
-    assert_eq!(read(&newer), Ok(newer.clone()));
+    assert_eq!(decode(&newer), Ok(newer.clone()));
     assert_eq!(
-        read(&Hello {
+        decode(&Hello {
             min_version: 2,
             max_version: 9,
             ..hello(5)
@@ -113,23 +121,23 @@
         Err(FrameError::Incompatible)
     );
     assert_eq!(
-        read(&Hello {
+        decode(&Hello {
             fleet: "g".into(),
             ..hello(5)
         }),
         Err(FrameError::Incompatible)
     );
-    let mut channel = SecureChannel::new(5, 6, Direction::FromOpener);
-    let mut longer = encode_message(&request()).unwrap();
-    longer.extend(b"a field that is not known yet");
-    let (longer, kind) = (
-        channel.encode(&keys, &longer).unwrap(),
-        channel.encode(&keys, &[200, 1, 2, 3]).unwrap(),
+    let mut sender = SecureChannel::new(5, 6, Direction::FromOpener);
+    let mut extended = encode_message(&request()).unwrap();
+    extended.extend(b"a field that is not known yet");
+    let (extended, unknown_kind) = (
+        sender.encode(&keys, &extended).unwrap(),
+        sender.encode(&keys, &[200, 1, 2, 3]).unwrap(),
     );
-    let mut there = SecureChannel::new(5, 6, Direction::FromOpener);
-    assert_eq!(there.decode(&keys, &body(&longer)), Ok(request()));
+    let mut receiver = SecureChannel::new(5, 6, Direction::FromOpener);
+    assert_eq!(receiver.decode(&keys, &body(&extended)), Ok(request()));
     assert_eq!(
-        there.decode(&keys, &body(&kind)),
+        receiver.decode(&keys, &body(&unknown_kind)),
         Err(FrameError::UnknownKind)
     );
 }
@@ -139,54 +147,54 @@
 
     /// Whatever a frame contains, signed or not, it decodes to a message or an error.
     #[test]
-    fn arbitrary_bytes_decode_or_fail_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400), sealed in any::<bool>()) {
+    fn arbitrary_bytes_decode_or_fail_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400), signed in any::<bool>()) {
         let keys = keys(1);
-        let frame = if sealed {
+        let frame = if signed {
             body(&SecureChannel::new(5, 6, Direction::FromOpener).encode(&keys, &bytes).unwrap())
         } else {
             BytesMut::from(&bytes[..])
         };
-        let heard = SecureChannel::new(5, 6, Direction::FromOpener).decode(&keys, &frame);
-        prop_assert!(sealed || heard.is_err());
+        let result = SecureChannel::new(5, 6, Direction::FromOpener).decode(&keys, &frame);
+        prop_assert!(signed || result.is_err());
         let _ = decode_hello(&keys, &frame, "f");
     }
 
     /// A frame with one changed byte is invalid.
     #[test]
-    fn a_flipped_byte_fails_verification(at in 0usize..64, flip in 1u8..) {
+    fn a_flipped_byte_fails_verification(offset in 0usize..64, flip in 1u8..) {
         let keys = keys(1);
         let mut frame = body(&SecureChannel::new(5, 6, Direction::FromOpener).encode(&keys, &encode_message(&request()).unwrap()).unwrap());
-        let at = at % frame.len();
-        frame[at] ^= flip;
+        let offset = offset % frame.len();
+        frame[offset] ^= flip;
         prop_assert!(SecureChannel::new(5, 6, Direction::FromOpener).decode(&keys, &frame).is_err());
     }
 
     /// However the bytes are fragmented, the same frames come out, and a length beyond the maximum is an error.
     #[test]
-    fn frames_are_reassembled_from_any_fragments(cuts in proptest::collection::vec(1usize..40, 1..12)) {
+    fn frames_are_reassembled_from_any_fragments(fragment_lengths in proptest::collection::vec(1usize..40, 1..12)) {
         let keys = keys(1);
-        let mut channel = SecureChannel::new(5, 6, Direction::FromOpener);
+        let mut sender = SecureChannel::new(5, 6, Direction::FromOpener);
         let all: Vec<u8> =
-            (0..3).flat_map(|_| channel.encode(&keys, &encode_message(&request()).unwrap()).unwrap().to_vec()).collect();
-        let (mut length_codec, mut heard, mut there, mut at) = (length_codec(), BytesMut::new(), SecureChannel::new(5, 6, Direction::FromOpener), 0);
+            (0..3).flat_map(|_| sender.encode(&keys, &encode_message(&request()).unwrap()).unwrap().to_vec()).collect();
+        let (mut length_codec, mut received, mut receiver, mut offset) = (length_codec(), BytesMut::new(), SecureChannel::new(5, 6, Direction::FromOpener), 0);
         let mut frames = 0;
-        let mut cuts = cuts.into_iter().cycle();
-        while at < all.len() {
-            let to = (at + cuts.next().unwrap()).min(all.len());
-            heard.extend_from_slice(&all[at..to]);
-            at = to;
-            while let Some(frame) = next_frame(&mut length_codec, &mut heard).unwrap() {
-                prop_assert_eq!(there.decode(&keys, &frame), Ok(request()));
+        let mut fragment_lengths = fragment_lengths.into_iter().cycle();
+        while offset < all.len() {
+            let end = (offset + fragment_lengths.next().unwrap()).min(all.len());
+            received.extend_from_slice(&all[offset..end]);
+            offset = end;
+            while let Some(frame) = next_frame(&mut length_codec, &mut received).unwrap() {
+                prop_assert_eq!(receiver.decode(&keys, &frame), Ok(request()));
                 frames += 1;
             }
         }
         prop_assert_eq!(frames, 3);
-        heard.extend_from_slice(&[0x7f; 4]);
-        prop_assert_eq!(next_frame(&mut length_codec, &mut heard), Err(FrameError::Malformed));
+        received.extend_from_slice(&[0x7f; 4]);
+        prop_assert_eq!(next_frame(&mut length_codec, &mut received), Err(FrameError::Malformed));
     }
 }
 
-/// Runs `scenario` against a process that answers each request with `Done`, and returns its counters.
+/// Runs `scenario` against a server that answers each request with `Done`, and returns the server's counters.
 fn run_server(scenario: impl FnOnce(SocketAddr) + Send + 'static) -> TransportCounters {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -194,18 +202,18 @@
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let mut nonce = 100;
         let nonces = Box::new(move || {
             nonce += 1;
             nonce
         });
-        let connections = Connections::new(at.to_string(), fleet(1), 4, nonces);
-        connections.set_message_handler(Box::new(|line, _| {
-            line.send(&Message::AdminResponse(AdminResponse::Done));
+        let connections = Connections::new(address.to_string(), fleet(1), 4, nonces);
+        connections.set_message_handler(Box::new(|connection, _| {
+            connection.send(&Message::AdminResponse(AdminResponse::Done));
         }));
         leverpoint_runtime::spawn(connections.clone().accept(Listener::Tcp(listener)));
-        tokio::task::spawn_blocking(move || scenario(at))
+        tokio::task::spawn_blocking(move || scenario(address))
             .await
             .unwrap();
         // Connections that the scenario has closed end before the counters are read.
@@ -228,40 +236,42 @@
 
 #[test]
 fn invalid_frames_close_their_connection_and_are_counted() {
-    let counters = run_server(|at| {
-        let say = |bytes: &[u8]| {
-            let mut stream = TcpStream::connect(at).unwrap();
+    let counters = run_server(|address| {
+        let send = |bytes: &[u8]| {
+            let mut stream = TcpStream::connect(address).unwrap();
             stream.write_all(bytes).unwrap();
             stream
         };
-        assert_eq!(read_to_end(say(&[0xff; 64])), 0);
-        assert_eq!(read_to_end(say(b"\0\0\0\x05hello")), 0);
+        assert_eq!(read_to_end(send(&[0xff; 64])), 0);
+        assert_eq!(read_to_end(send(b"\0\0\0\x05hello")), 0);
         assert_eq!(
-            read_to_end(say(&encode_hello(&keys(2), &hello(1)).unwrap())),
+            read_to_end(send(&encode_hello(&keys(2), &hello(1)).unwrap())),
             0
         );
         assert_eq!(
-            read_to_end(say(&encode_hello(
-                &keys(1),
-                &Hello {
-                    fleet: "g".into(),
-                    ..hello(1)
-                }
-            )
-            .unwrap())),
+            read_to_end(send(
+                &encode_hello(
+                    &keys(1),
+                    &Hello {
+                        fleet: "g".into(),
+                        ..hello(1)
+                    }
+                )
+                .unwrap()
+            )),
             0
         );
-        // Half a greeting, and then nothing: the handshake times out.
+        // An incomplete greeting and nothing after it: the handshake times out.
         assert_eq!(
-            read_to_end(say(&encode_hello(&keys(1), &hello(1)).unwrap()[..20])),
+            read_to_end(send(&encode_hello(&keys(1), &hello(1)).unwrap()[..20])),
             0
         );
-        // Greeted, then a frame of another connection.
-        let mut stream = say(&encode_hello(&keys(1), &hello(1)).unwrap());
-        let mut head = [0; 4];
-        stream.read_exact(&mut head).unwrap();
+        // A valid greeting, then a frame that is signed for another connection.
+        let mut stream = send(&encode_hello(&keys(1), &hello(1)).unwrap());
+        let mut length = [0; 4];
+        stream.read_exact(&mut length).unwrap();
         stream
-            .read_exact(&mut vec![0; u32::from_be_bytes(head) as usize])
+            .read_exact(&mut vec![0; u32::from_be_bytes(length) as usize])
             .unwrap();
         stream
             .write_all(
@@ -292,43 +302,47 @@
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let timed_out = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let one = Connections::new(at.to_string(), fleet(1), 4, Box::new(|| 7));
-        one.set_message_handler(Box::new(|line, _| {
-            line.send(&Message::AdminResponse(AdminResponse::Done));
+        let silent_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        let server = Connections::new(address.to_string(), fleet(1), 4, Box::new(|| 7));
+        server.set_message_handler(Box::new(|connection, _| {
+            connection.send(&Message::AdminResponse(AdminResponse::Done));
         }));
-        leverpoint_runtime::spawn(one.clone().accept(Listener::Tcp(listener)));
-        let two = Connections::new("127.0.0.1:9".into(), fleet(1), 4, Box::new(|| 8));
-        let heard = Rc::new(RefCell::new(Vec::new()));
-        let (wake, tell) = (Rc::new(tokio::sync::Notify::new()), heard.clone());
-        let told = wake.clone();
-        two.set_message_handler(Box::new(move |_, message| {
-            tell.borrow_mut().push(message);
-            told.notify_one();
+        leverpoint_runtime::spawn(server.clone().accept(Listener::Tcp(listener)));
+        let client = Connections::new("127.0.0.1:9".into(), fleet(1), 4, Box::new(|| 8));
+        let received = Rc::new(RefCell::new(Vec::new()));
+        let (arrived, slot) = (Rc::new(tokio::sync::Notify::new()), received.clone());
+        let notify = arrived.clone();
+        client.set_message_handler(Box::new(move |_, message| {
+            slot.borrow_mut().push(message);
+            notify.notify_one();
         }));
-        // The one that never greets has a queue with a bound; what is for the other goes out meanwhile.
-        let deaf = Destination {
+        // The queue for the peer that never sends a greeting is bounded, and the message to the other peer is sent
+        // meanwhile.
+        let silent_peer = Destination {
             name: None,
-            address: timed_out.local_addr().unwrap().to_string(),
+            address: silent_listener.local_addr().unwrap().to_string(),
         };
         for _ in 0..1_000 {
-            two.send(&deaf, &request());
+            client.send(&silent_peer, &request());
         }
-        two.send(
+        client.send(
             &Destination {
                 name: Some("n1".into()),
-                address: at.to_string(),
+                address: address.to_string(),
             },
             &request(),
         );
-        wake.notified().await;
+        arrived.notified().await;
         assert_eq!(
-            *heard.borrow(),
+            *received.borrow(),
             [Message::AdminResponse(AdminResponse::Done)]
         );
-        assert_eq!(two.counters().dropped, 1_000 - 128);
-        // In the other direction over the same connection.
-        assert_eq!((one.counters().opened, one.len(), two.len()), (0, 1, 2));
+        assert_eq!(client.counters().dropped, 1_000 - 128);
+        // The response used the connection of the request.
+        assert_eq!(
+            (server.counters().opened, server.len(), client.len()),
+            (0, 1, 2)
+        );
     });
 }
--- a/crates/peer-transport/tests/wire_bytes.rs
+++ b/crates/peer-transport/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes of every message between members, as the released program writes them: members of two versions of the
-//! program have to understand each other, whatever the types are called here.
+//! The bytes of every message between members, as the released program writes them. Members of two versions of the
+//! program have to understand each other, so a renamed type or field must not change its encoding.
 
 use std::collections::BTreeMap;
 
@@ -15,10 +15,10 @@
 };
 use leverpoint_peer_transport::{AdminRequest, AdminResponse};
 use leverpoint_peer_transport::{Direction, SecureChannel};
-use leverpoint_replication::ReplicationCounters as CopyCounts;
+use leverpoint_replication::ReplicationCounters;
 use leverpoint_replication::ReplicationStatus;
 use leverpoint_replication::message::{
-    Envelope as CopyEnvelope, Message as CopyBody, RecordReply, RejectReason,
+    Envelope as ReplicationEnvelope, Message as ReplicationBody, RecordReply, RejectReason,
 };
 use leverpoint_replication::record::{
     EndpointSummary, KeyedAttempt, KeyedOutcome, KeyedRequestState, OpenWrites, PrimaryRole,
@@ -37,7 +37,7 @@
     }
 }
 
-fn card(name: &str) -> MemberInfo {
+fn member_info(name: &str) -> MemberInfo {
     MemberInfo {
         name: name.into(),
         address: "127.0.0.1:7432".into(),
@@ -48,11 +48,11 @@
     }
 }
 
-fn rumour(name: &str, seen: MemberStatus) -> MemberUpdate {
+fn member_update(name: &str, status: MemberStatus) -> MemberUpdate {
     MemberUpdate {
-        info: card(name),
+        info: member_info(name),
         refutation_count: 3,
-        status: seen,
+        status,
     }
 }
 
@@ -83,9 +83,9 @@
         MemberStatus::Dead,
         MemberStatus::Left,
     ]
-    .map(|seen| rumour("n2", seen));
+    .map(|status| member_update("n2", status));
     Message::Membership(Box::new(Envelope {
-        sender: rumour("n1", MemberStatus::Alive),
+        sender: member_update("n1", MemberStatus::Alive),
         layout: LayoutVersion {
             version: 4,
             digest: 500,
@@ -96,7 +96,7 @@
     }))
 }
 
-/// Every kind of message by which membership is kept.
+/// Messages of every kind of the membership protocol.
 fn membership_bodies() -> Vec<Body> {
     let (number, name) = (70_000, "n3".to_owned());
     vec![
@@ -111,7 +111,7 @@
             name,
         },
         Body::TableSync {
-            updates: vec![rumour("n2", MemberStatus::Dead)],
+            updates: vec![member_update("n2", MemberStatus::Dead)],
         },
         Body::LayoutRequest,
         Body::ChosenLayout { layout: layout() },
@@ -146,48 +146,48 @@
     ]
 }
 
-fn one_try(ended: KeyedOutcome) -> KeyedAttempt {
+fn keyed_attempt(outcome: KeyedOutcome) -> KeyedAttempt {
     KeyedAttempt {
         replica_set: 2,
         first_sent: 10_000,
         deduplicated_until: 40_000,
-        outcome: ended,
+        outcome,
         is_first: true,
     }
 }
 
 /// A record of each kind.
 fn records() -> Vec<Record> {
-    let open = OpenWrites {
+    let open_writes = OpenWrites {
         last_begun: 3,
         last_finished: 2,
         begun_at: 9_000,
     };
-    let wrote = SessionWrites {
+    let session_writes = SessionWrites {
         position: 8_000,
-        open_writes: BTreeMap::from([((77, 1), open)]),
+        open_writes: BTreeMap::from([((77, 1), open_writes)]),
         overflowed: true,
     };
-    let ends = [
+    let outcomes = [
         KeyedOutcome::Pending,
         KeyedOutcome::NotExecuted,
         KeyedOutcome::PossiblyExecuted,
         KeyedOutcome::Executed,
     ];
-    let tries = ends
+    let attempts = outcomes
         .iter()
         .enumerate()
-        .map(|(number, ended)| (number as u64, one_try(*ended)));
-    let fate = KeyedRequestState {
-        attempts: tries.collect(),
-        folded: Some(one_try(KeyedOutcome::PossiblyExecuted)),
+        .map(|(number, outcome)| (number as u64, keyed_attempt(*outcome)));
+    let keyed_request = KeyedRequestState {
+        attempts: attempts.collect(),
+        folded: Some(keyed_attempt(KeyedOutcome::PossiblyExecuted)),
     };
-    let role = PrimaryRole {
+    let primary_role = PrimaryRole {
         term: 5,
         observed_at: 7_000,
         server: "s1".into(),
     };
-    let listed = EndpointSummary {
+    let endpoint_summary = EndpointSummary {
         revision: 41,
         observed_at: 6_000,
         drained: vec!["s2".into(), "s3".into()],
@@ -195,84 +195,84 @@
     vec![
         Record {
             key: RecordKey::Session(u64::MAX),
-            value: RecordValue::Session(wrote),
+            value: RecordValue::Session(session_writes),
         },
         Record {
             key: RecordKey::KeyedRequest(12),
-            value: RecordValue::KeyedRequest(fate),
+            value: RecordValue::KeyedRequest(keyed_request),
         },
         Record {
             key: RecordKey::Primary(2),
-            value: RecordValue::Primary(role),
+            value: RecordValue::Primary(primary_role),
         },
         Record {
             key: RecordKey::EndpointList,
-            value: RecordValue::EndpointList(listed),
+            value: RecordValue::EndpointList(endpoint_summary),
         },
     ]
 }
 
-/// Every kind of message by which records are replicated.
-fn replication_bodies() -> Vec<CopyBody> {
-    let holds = RecordReply {
+/// Messages of every kind of the replication protocol.
+fn replication_bodies() -> Vec<ReplicationBody> {
+    let found = RecordReply {
         record: records().pop(),
         low_watermark: 5_000,
         partitioned: true,
     };
-    let none = RecordReply {
+    let absent = RecordReply {
         record: None,
         low_watermark: 0,
         partitioned: false,
     };
     let mut bodies = vec![
-        CopyBody::RenewLease {
+        ReplicationBody::RenewLease {
             echoed_time: 1_000,
             unreplicated_until: 2_000,
             synced_version: 3,
         },
-        CopyBody::LeaseRenewed {
+        ReplicationBody::LeaseRenewed {
             time: 1_500,
             synced_version: 4,
         },
-        CopyBody::Write { records: records() },
-        CopyBody::WriteAcknowledged {
+        ReplicationBody::Write { records: records() },
+        ReplicationBody::WriteAcknowledged {
             merged: records(),
             low_watermark: 5_000,
             partitioned: true,
         },
-        CopyBody::Read {
+        ReplicationBody::Read {
             keys: records().iter().map(|record| record.key).collect(),
         },
-        CopyBody::ReadReply {
-            replies: vec![holds, none],
+        ReplicationBody::ReadReply {
+            replies: vec![found, absent],
         },
-        CopyBody::CompareHashes {
+        ReplicationBody::CompareHashes {
             branch: None,
             hashes: vec![1, 2, 3],
         },
-        CopyBody::CompareHashes {
+        ReplicationBody::CompareHashes {
             branch: Some(9),
             hashes: vec![u64::MAX],
         },
-        CopyBody::DifferingNodes { nodes: vec![0, 63] },
-        CopyBody::FetchBucket {
+        ReplicationBody::DifferingNodes { nodes: vec![0, 63] },
+        ReplicationBody::FetchBucket {
             bucket: 4_095,
             after: Some(RecordKey::Session(5)),
         },
-        CopyBody::FetchReassigned {
+        ReplicationBody::FetchReassigned {
             from_bucket: 12,
             after: None,
         },
-        CopyBody::RecordBatch {
+        ReplicationBody::RecordBatch {
             records: records(),
             next: Some((13, Some(RecordKey::EndpointList))),
             low_watermark: 4_000,
         },
-        CopyBody::QueryLayouts,
-        CopyBody::Layouts {
+        ReplicationBody::QueryLayouts,
+        ReplicationBody::Layouts {
             layouts: vec![layout()],
         },
-        CopyBody::Leaving { echoed_time: 1_000 },
+        ReplicationBody::Leaving { echoed_time: 1_000 },
     ];
     for reason in [
         RejectReason::LayoutMismatch,
@@ -282,16 +282,16 @@
         RejectReason::DiskFailed,
         RejectReason::NotAReplica,
     ] {
-        bodies.push(CopyBody::Rejected { reason });
+        bodies.push(ReplicationBody::Rejected { reason });
     }
     bodies
 }
 
-fn replication(body: CopyBody) -> Message {
-    let (name, life, storage_id) = ("n1".to_owned(), 8, 300);
-    let envelope = CopyEnvelope {
-        sender: name,
-        incarnation: life,
+fn replication(body: ReplicationBody) -> Message {
+    let (sender, incarnation_number, storage_id) = ("n1".to_owned(), 8, 300);
+    let envelope = ReplicationEnvelope {
+        sender,
+        incarnation: incarnation_number,
         storage_id,
         layout_version: 4,
         request_id: 90_000,
@@ -300,7 +300,7 @@
     Message::Replication(Box::new(envelope))
 }
 
-fn look() -> ReplicationStatus {
+fn replication_status() -> ReplicationStatus {
     ReplicationStatus {
         layout_version: 4,
         oldest_layout_version: 3,
@@ -318,7 +318,7 @@
         serving_without_quorum: false,
         unaccounted_members: vec!["n4".into()],
         last_repair: Some(16_000),
-        counters: CopyCounts {
+        counters: ReplicationCounters {
             quorum_writes: 1,
             writes_without_quorum: 2,
             rejected_writes: 3,
@@ -338,9 +338,9 @@
     }
 }
 
-fn line() -> MemberSummary {
+fn member_summary() -> MemberSummary {
     MemberSummary {
-        info: card("n2"),
+        info: member_info("n2"),
         refutation_count: 3,
         status: MemberStatus::Suspect,
         status_age: 100,
@@ -350,34 +350,34 @@
     }
 }
 
-fn questions_and_answers() -> Vec<Message> {
-    let questions = [
+fn admin_messages() -> Vec<Message> {
+    let requests = [
         AdminRequest::Members,
         AdminRequest::Remove { name: "n3".into() },
         AdminRequest::Replication,
         AdminRequest::AntiEntropy { restart: true },
     ];
-    let answers = [
+    let responses = [
         AdminResponse::Members {
             status: "in".into(),
             layout_version: 4,
             holders: 2,
-            members: vec![line()],
+            members: vec![member_summary()],
         },
         AdminResponse::Done,
         AdminResponse::Refused {
             reason: "it is here: stop it first".into(),
         },
-        AdminResponse::Replication(Box::new(look())),
+        AdminResponse::Replication(Box::new(replication_status())),
         AdminResponse::AntiEntropy {
             peers: vec![("n2".into(), 5, 6, 7)],
             remaining: 1,
         },
     ];
-    questions
+    requests
         .into_iter()
         .map(Message::AdminRequest)
-        .chain(answers.into_iter().map(Message::AdminResponse))
+        .chain(responses.into_iter().map(Message::AdminResponse))
         .collect()
 }
 
@@ -388,18 +388,18 @@
     }])
 }
 
-fn bodies() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     let membership = membership_bodies().into_iter().map(envelope);
     let replication = replication_bodies().into_iter().map(replication);
     membership
         .chain(replication)
-        .chain(questions_and_answers())
+        .chain(admin_messages())
         .collect()
 }
 
 #[test]
 fn bodies_are_the_bytes_that_the_released_program_writes() {
-    let all: Vec<String> = bodies()
+    let all: Vec<String> = messages()
         .iter()
         .map(|message| hex(&encode_message(message).unwrap()))
         .collect();
@@ -415,20 +415,20 @@
         address: "127.0.0.1:9".into(),
         nonce: 77,
     };
-    let mut way = SecureChannel::new(77, 78, Direction::FromOpener);
+    let mut outbound = SecureChannel::new(77, 78, Direction::FromOpener);
     let mut frames = vec![encode_hello(&keys(), &hello).unwrap()];
     let message = encode_message(&Message::AdminRequest(AdminRequest::Members)).unwrap();
-    frames.extend((0..2).map(|_| way.encode(&keys(), &message).unwrap()));
-    let mut back = SecureChannel::new(77, 78, Direction::FromAcceptor);
-    frames.push(back.encode(&keys(), &message).unwrap());
+    frames.extend((0..2).map(|_| outbound.encode(&keys(), &message).unwrap()));
+    let mut inbound = SecureChannel::new(77, 78, Direction::FromAcceptor);
+    frames.push(inbound.encode(&keys(), &message).unwrap());
     let all: Vec<String> = frames.iter().map(|frame| hex(frame)).collect();
     insta::assert_snapshot!(all.join("\n"));
 }
 
-/// What a released member has written is understood: its bytes stand in the snapshot above.
+/// What a member of the released program has written is decoded; the snapshot of the messages holds its bytes.
 #[test]
-fn bodies_are_read_back_from_the_bytes() {
-    for message in bodies() {
+fn messages_are_decoded_from_their_bytes() {
+    for message in messages() {
         let frame = SecureChannel::new(1, 2, Direction::FromOpener)
             .encode(&keys(), &encode_message(&message).unwrap())
             .unwrap();
@@ -444,29 +444,29 @@
 }
 
 #[test]
-fn how_a_member_stands_is_written_in_the_same_words() {
-    let words = [
+fn status_names_are_those_of_the_released_program() {
+    let names = [
         MembershipStatus::Joining,
         MembershipStatus::Active,
         MembershipStatus::Left,
         MembershipStatus::Superseded,
     ]
     .map(status_name);
-    assert_eq!(words, ["joining", "in", "left", "ended"]);
+    assert_eq!(names, ["joining", "in", "left", "ended"]);
 }
 
 #[test]
-fn a_member_note_is_the_bytes_that_the_released_program_keeps() {
-    let voice = AcceptorState {
+fn persisted_state_is_the_bytes_that_the_released_program_stores() {
+    let acceptor = AcceptorState {
         promised: ballot(),
         accepted: Some((ballot(), layout())),
     };
-    let kept = PersistedState {
+    let state = PersistedState {
         incarnation: incarnation(),
         layout: layout(),
-        acceptor: voice,
+        acceptor,
     };
     insta::assert_snapshot!(hex(
-        &leverpoint_peer_transport::membership_runtime::encode_state(&kept)
+        &leverpoint_peer_transport::membership_runtime::encode_state(&state)
     ));
 }
