--- a/crates/bench-adapter/src/instance.rs
+++ b/crates/bench-adapter/src/instance.rs
@@ -25,8 +25,9 @@
     requests: Indices<u32>,
     /// What each request uses, by its index.
     request_usage: Vec<RequestUsage>,
-    /// Actions of the event at hand; empty in between, as is `endpoints`.
+    /// Actions of the current event; the buffer is reused.
     actions: Vec<Action>,
+    /// Endpoints of the latest list update; the buffer is reused.
     endpoints: Vec<Endpoint>,
 }
 
