--- a/crates/config/tests/operator.rs
+++ b/crates/config/tests/operator.rs
@@ -1,19 +1,19 @@
 //! The operator's file: the configuration that it results in, and the error for each invalid file.
 
 use leverpoint_backpressure::Limits;
-use leverpoint_backpressure::limits::MachineResources;
+use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_config::operator::{self, OperatorConfig};
 
 const LONGEST_MESSAGE: usize = 136 << 10;
 
 fn default_limits() -> Limits {
-    let (memory, sockets) = (32 << 20, 1_024);
-    Limits::from_resources(&MachineResources {
+    let (memory, descriptors) = (32 << 20, 1_024);
+    Limits::from_resources(&ProcessResources {
         memory,
-        sockets,
-        unclaimed: 8 << 10,
-        longest: LONGEST_MESSAGE,
-        connect: 2_500,
+        descriptors,
+        unreserved_per_connection: 8 << 10,
+        max_message: LONGEST_MESSAGE,
+        connect_timeout: 2_500,
     })
 }
 
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -6,7 +6,7 @@
 
 use leverpoint_config::settings::{ceil_ticks, floor_ticks};
 use leverpoint_routing::api::{AttemptOutcome, FinishedAttempt, ServerReport, Ticks};
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 use tokio::sync::Notify;
 
 use crate::attempt::{Attempt, AttemptKind, AttemptRequest, AttemptServer, ReportedParameters};
@@ -95,7 +95,7 @@
         let usage = open.usage;
         let server_report = self
             .server_report(report.reported, usage.write && answered)
-            .filter(|_| !(usage.write && plant("token-forgotten")));
+            .filter(|_| !(usage.write && failpoint_active("token-forgotten")));
         if let (Some(sessions), Some(session)) = (&self.session_consistency, &open.session) {
             sessions.on_attempt_finished(session, now, report.outcome, server_report);
         }
@@ -187,10 +187,10 @@
 
     /// Sends a request's final answer to its client, unless the request is finished.
     pub(crate) fn deliver(&self, request: usize, answer: FinalAnswer) {
-        if plant("wait-without-end") && !matches!(answer, FinalAnswer::Answered(_)) {
+        if failpoint_active("wait-without-end") && !matches!(answer, FinalAnswer::Answered(_)) {
             return;
         }
-        let answer = if plant("other-value") {
+        let answer = if failpoint_active("other-value") {
             previous_row_instead(answer)
         } else {
             answer
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -6,7 +6,7 @@
 
 use leverpoint_routing::api::{Consistency, Idempotency, Request, Ticks};
 use leverpoint_routing::interning::{RequestUsage, Sessions};
-use leverpoint_runtime::plant;
+use leverpoint_runtime::failpoint_active;
 use tokio::sync::{Notify, oneshot};
 
 use crate::client_connections::ClientConnection;
@@ -144,7 +144,7 @@
     /// other.
     pub(crate) fn remove_releasable(&mut self, index: usize) -> Option<OpenRequest> {
         let releasable = |open: &OpenRequest| {
-            open.usage.is_releasable() || plant("index-early") && open.usage.finished
+            open.usage.is_releasable() || failpoint_active("index-early") && open.usage.finished
         };
         let open = self.requests[index].take_if(|open| releasable(open))?;
         self.free_indices.push(index);
--- a/crates/engine/src/session_consistency.rs
+++ b/crates/engine/src/session_consistency.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_config::operator::SessionTracking;
 use leverpoint_routing::api::{AttemptOutcome, Consistency, ServerReport, Ticks};
-use leverpoint_runtime::{plant, unix};
+use leverpoint_runtime::{failpoint_active, unix_time};
 use leverpoint_sessions::{
     Keys, RequiredPosition, SessionPosition, SessionToken, SessionTracker, session_hash,
 };
@@ -78,7 +78,7 @@
 impl SessionConsistency {
     /// Creates a tracker without known sessions; `seed` is that of the tracker's random numbers.
     pub fn new(mut tracking: SessionTracking, seed: u64, now: Ticks) -> SessionConsistency {
-        if plant("epoch-forgotten") {
+        if failpoint_active("epoch-forgotten") {
             tracking.config.exclusive_for = None;
         }
         let tracker = RefCell::new(SessionTracker::new(tracking.config, now, seed));
@@ -115,7 +115,7 @@
 
     /// Returns the replication position that covers all writes answered by `now`.
     pub fn position_at(&self, now: Ticks) -> Ticks {
-        self.tracker.borrow().instant(now)
+        self.tracker.borrow().current_instant(now)
     }
 
     /// Sets the function that persists new positions.
@@ -137,9 +137,11 @@
     fn check_clocks(&self, now: Ticks) {
         if now - self.clocks_checked_at.get() >= CLOCK_CHECK_INTERVAL {
             self.clocks_checked_at.set(now);
-            self.tracker
-                .borrow_mut()
-                .on_clocks_read(now, (unix().as_micros() / 100) as Ticks, now);
+            self.tracker.borrow_mut().on_clocks_read(
+                now,
+                (unix_time().as_micros() / 100) as Ticks,
+                now,
+            );
         }
     }
 
@@ -167,7 +169,7 @@
             .token
             .and_then(|token| self.verified_position(token, arrival.session_hash));
         if arrival.token.is_some() && verified.is_none() {
-            tracker.counts.refused_tokens += 1;
+            tracker.metrics.rejected_tokens += 1;
         }
         tracker.on_read(
             arrival.session_hash,
@@ -181,10 +183,10 @@
 
     /// Returns the position in a session token; none if the token is not valid for the session.
     fn verified_position(&self, text: &str, session: u64) -> Option<Ticks> {
-        if plant("token-forged") {
+        if failpoint_active("token-forged") {
             return Some(1);
         }
-        SessionToken::read(&self.keys, text, session)
+        SessionToken::verify(&self.keys, text, session)
     }
 
     /// Whether a complete row must be held back until the server has reported its role and position.
@@ -192,7 +194,7 @@
         if session.write {
             !self.keys.is_empty() || self.replicated.get()
         } else {
-            session.requirement.is_some() && !plant("uncovered")
+            session.requirement.is_some() && !failpoint_active("uncovered")
         }
     }
 
@@ -303,19 +305,19 @@
     /// Returns the counters as one line of `name=count` pairs separated by spaces.
     pub fn summary(&self) -> String {
         let tracker = self.tracker.borrow();
-        let counts = tracker.counts;
+        let metrics = tracker.metrics;
         format!(
             "sessions.known={} sessions.bytes={} reads.exact={} reads.instant={} reads.carried={} reads.asked={} \
              tokens.refused={} sessions.let_go={} epochs={}",
-            tracker.sessions(),
+            tracker.session_count(),
             tracker.bytes(),
-            counts.exact,
-            counts.instant,
-            counts.carried,
-            counts.asked,
-            counts.refused_tokens,
-            counts.evicted,
-            counts.epochs
+            metrics.exact_reads,
+            metrics.current_instant_reads,
+            metrics.token_reads,
+            metrics.replicated_reads,
+            metrics.rejected_tokens,
+            metrics.evicted_sessions,
+            metrics.epochs
         )
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -4,7 +4,7 @@
 use leverpoint_config::node::{self, NodeConfig};
 use leverpoint_config::operator::{self, OperatorConfig};
 
-use crate::gateway::{Gateway, caps, copying};
+use crate::gateway::{Gateway, backpressure_limits, replication_settings};
 use crate::membership;
 
 /// Keys of the operator's file that hold for new connections alone, as both ends agree on them when connecting.
@@ -35,7 +35,7 @@
             Ok(reloaded) => {
                 let mut needs_restart = self.node.changed_keys(&reloaded);
                 needs_restart.retain(|key| key != "discovery");
-                let moved = self.agent.move_to(reloaded.discovery);
+                let moved = self.agent.set(reloaded.discovery);
                 slog::info!(self.log, "configuration reloaded"; "discovery" => reloaded.discovery.to_string(),
                     "moved" => moved, "needs_restart" => needs_restart.join(" "));
             }
@@ -62,11 +62,11 @@
         held: &OperatorConfig,
         reloaded: OperatorConfig,
     ) -> Result<OperatorConfig, ConfigError> {
-        copying(&self.node, &reloaded)?;
-        let caps = caps(&self.node, &reloaded)?;
-        let membership = membership::membership(&self.node, &reloaded)?;
+        replication_settings(&self.node, &reloaded)?;
+        let limits = backpressure_limits(&self.node, &reloaded)?;
+        let membership = membership::membership_settings(&self.node, &reloaded)?;
         let changed = held.changed_keys(&reloaded);
-        self.peers.set_limits(caps);
+        self.client_connections.set_limits(limits);
         if let (Some(member), Some(membership)) = (&self.member, &membership) {
             let fleet = membership::fleet_identity(membership);
             member.reconfigure(fleet, &membership.seeds);
