--- a/crates/config/src/node.rs
+++ b/crates/config/src/node.rs
@@ -13,11 +13,11 @@
 
 /// Resource limits of the process.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
     /// Number of file descriptors that the process may use.
-    pub sockets: usize,
+    pub descriptors: usize,
 }
 
 /// Configuration of one gateway.
@@ -33,7 +33,7 @@
     /// Address of the agent that serves discovery.
     pub discovery: SocketAddr,
     /// Resource limits of the process.
-    pub limits: Limits,
+    pub limits: ResourceLimits,
     /// The last known endpoint list, in the format of discovery. It is kept as text, since the parsed tree takes many
     /// times as much memory.
     pub known_endpoints: Option<Box<RawValue>>,
@@ -42,7 +42,7 @@
 }
 
 const DEFAULT_MEMORY_MB: usize = 192;
-const DEFAULT_SOCKETS: usize = 1_024;
+const DEFAULT_DESCRIPTORS: usize = 1_024;
 
 /// Keys that are used only at startup; a reload ignores changes of them.
 const STARTUP_ONLY_KEYS: [&str; 2] = ["known", "seed"];
@@ -184,11 +184,11 @@
     }
 }
 
-fn limits(limits: &ValuePath<'_>) -> Result<Limits, ConfigError> {
+fn limits(limits: &ValuePath<'_>) -> Result<ResourceLimits, ConfigError> {
     let memory_mb = limits.get("memory_mb");
-    let sockets = limits.get("sockets");
-    Ok(Limits {
+    let descriptors = limits.get("sockets");
+    Ok(ResourceLimits {
         memory_bytes: memory_mb.value_or(DEFAULT_MEMORY_MB, |k| k.integer(1, 1 << 20))? << 20,
-        sockets: sockets.value_or(DEFAULT_SOCKETS, |k| k.integer(20, 1 << 20))?,
+        descriptors: descriptors.value_or(DEFAULT_DESCRIPTORS, |k| k.integer(20, 1 << 20))?,
     })
 }
--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns the membership of this process in its fleet; `None` if it belongs to none. `name` and `zone` are the
-    /// process's own, `sockets` the number of file descriptors that it may use.
+    /// process's own, `descriptors` the number of file descriptors that it may use.
     ///
     /// # Errors
     ///
@@ -127,12 +127,12 @@
         &self,
         name: &str,
         zone: &str,
-        sockets: usize,
+        descriptors: usize,
     ) -> Result<Option<MembershipSettings>, ConfigError> {
         let process = ProcessIdentity {
             name,
             zone,
-            sockets,
+            descriptors,
         };
         let context = self.document.block("members");
         self.blocks.membership.membership(&process, &context)
--- a/crates/config/src/operator/membership.rs
+++ b/crates/config/src/operator/membership.rs
@@ -102,7 +102,7 @@
     pub(crate) name: &'a str,
     pub(crate) zone: &'a str,
     /// Number of file descriptors that it may use.
-    pub(crate) sockets: usize,
+    pub(crate) descriptors: usize,
 }
 
 /// The addresses at which a member is reached.
@@ -145,7 +145,7 @@
         }
         let founders = self.checked_founders(context)?;
         let config = self.parameters(context)?;
-        let max_connections = self.checked_max_connections(process.sockets, context)?;
+        let max_connections = self.checked_max_connections(process.descriptors, context)?;
         let or_default = |stated: &Option<String>, default: &str| {
             stated.clone().unwrap_or_else(|| default.to_owned())
         };
@@ -248,13 +248,13 @@
 
     fn checked_max_connections(
         &self,
-        sockets: usize,
+        descriptors: usize,
         context: &BlockContext<'_>,
     ) -> Result<usize, ConfigError> {
-        let default = (sockets / 16).max(4);
+        let default = (descriptors / 16).max(4);
         let connections = self.max_connections.map_or(default, |n| n as usize);
-        if connections > sockets / 4 {
-            let expected = format!("at most {}, a quarter of the descriptors", sockets / 4);
+        if connections > descriptors / 4 {
+            let expected = format!("at most {}, a quarter of the descriptors", descriptors / 4);
             return Err(context.error("connections", &expected));
         }
         Ok(connections)
--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -100,7 +100,7 @@
         out,
         "limits {} MiB, {} descriptors",
         limits.memory_bytes >> 20,
-        limits.sockets
+        limits.descriptors
     )?;
     for (name, class) in node.settings.class_names.iter().zip(&facts.classes) {
         writeln!(out, "command group {name}: {}", request_class(class))?;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -71,7 +71,7 @@
 ) -> Result<Limits, ConfigError> {
     let resources = ProcessResources {
         memory: node.limits.memory_bytes,
-        descriptors: node.limits.sockets,
+        descriptors: node.limits.descriptors,
         unreserved_per_connection: 2 * UNRESERVED_BYTES,
         max_message: MAX_MESSAGE,
         connect_timeout: node.settings.connect_timeout,
@@ -123,7 +123,7 @@
         let (classes, tenants) = (facts.classes.len(), facts.tenants.len());
         let client_connections =
             ClientConnections::new(limits, classes, tenants, facts.seed, log.clone());
-        let sockets = node.limits.sockets - reserved;
+        let sockets = node.limits.descriptors - reserved;
         let leaving = ConnectionEviction::new(sockets, client_connections.clone());
         let descriptors = DescriptorBudget::new(sockets, leaving.clone());
         let servers = ServerPool::new(
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -50,7 +50,7 @@
         .zone_names
         .get(facts.zone)
         .map_or("", String::as_str);
-    operator.membership(&node.name, zone, node.limits.sockets)
+    operator.membership(&node.name, zone, node.limits.descriptors)
 }
 
 /// The fleet's name, keys and addresses, as the connections between members check them.
