--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -128,7 +128,7 @@
     let engine = context.engine.clone();
     increment(&engine.metrics.clients.opened);
     let longest_timeout = engine.longest_timeout();
-    let connection = BufferedConnection::of_client(stream, connected);
+    let connection = BufferedConnection::for_client(stream, connected);
     let peer = context.client_connections.register(connection.stream());
     let admission = Admission {
         has_capacity,
@@ -151,7 +151,7 @@
     let _ = client.serve().await;
     if client.peer.is_evicted() {
         // What stands in the kernel for it goes as well.
-        client.connection.discard();
+        client.connection.reset_on_drop();
     }
 }
 
@@ -235,7 +235,7 @@
         if progress.deadline.take().is_some() {
             self.peer.on_message_complete();
         }
-        self.connection.expect_usual();
+        self.connection.reset_input_bound();
     }
 
     async fn on_read_outcome(
@@ -329,7 +329,7 @@
         let before = self.connection.input.len();
         let reserved = self
             .connection
-            .expect(length, &self.peer, Held::Request, room);
+            .reserve_input(length, &self.peer, Held::Request, room);
         match timeout(MESSAGE_TIMEOUT, reserved).await {
             Ok(Duration::ZERO) => {}
             // Nothing was read meanwhile, and not by the client's doing.
@@ -346,7 +346,7 @@
     /// Reads what the operating system has received for this connection; returns whether there was anything.
     fn read_available(&mut self) -> io::Result<bool> {
         loop {
-            match self.connection.read_past() {
+            match self.connection.try_read_direct() {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(false),
                 read => return read.map(|_| true),
--- a/crates/gateway/src/client/pipelining.rs
+++ b/crates/gateway/src/client/pipelining.rs
@@ -67,7 +67,7 @@
     ) -> io::Result<F::Output> {
         loop {
             if self.connection.input.space() == 0 && self.read_ahead.grow() {
-                self.connection.look_ahead(READ_AHEAD_STEP);
+                self.connection.extend_input_bound(READ_AHEAD_STEP);
             }
             tokio::select! {
                 biased;
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -123,7 +123,7 @@
         let closed = within(
             self.engine.connect_timeout(),
             // What the client still sends is read up to a bound, so that no reset overtakes the error.
-            self.connection.finish(messages::MAX_MESSAGE),
+            self.connection.shutdown_and_drain(messages::MAX_MESSAGE),
         )
         .await;
         self.wait_until_taken().await;
@@ -133,7 +133,7 @@
     /// Closes the connection between requests; one that is sent from here on is left unread, as nothing would answer it.
     pub(super) async fn close_unread(&mut self) -> io::Result<()> {
         let timeout = self.engine.connect_timeout();
-        let closed = within(timeout, self.connection.finish_unread()).await;
+        let closed = within(timeout, self.connection.shutdown_without_reading()).await;
         self.wait_until_taken().await;
         closed
     }
--- a/crates/gateway/src/io/connection.rs
+++ b/crates/gateway/src/io/connection.rs
@@ -1,4 +1,4 @@
-//! A connection with buffers, over the runtime's streams.
+//! A stream of the runtime with a buffer for each direction.
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
@@ -14,22 +14,22 @@
 use crate::io::receive_times::ReceiveTimes;
 use crate::io::ring_buffer::{MIN_SIZE, RingBuffer};
 
-/// Bytes that a connection reads or writes before others have their turn.
-const TURN_BYTES: usize = 64 << 10;
+/// Bytes that a connection reads or writes before it yields to other tasks.
+const YIELD_THRESHOLD: usize = 64 << 10;
 
 /// A connection with a ring buffer for each direction.
 pub(crate) struct BufferedConnection {
     stream: Stream,
-    /// What has been read and not taken out.
+    /// Bytes read and not yet consumed.
     pub input: RingBuffer,
     output: RingBuffer,
-    /// Bytes moved in this turn.
-    turn: usize,
-    /// When a client's bytes were received; not recorded for other connections.
+    /// Bytes read or written since the task last yielded.
+    bytes_since_yield: usize,
+    /// Receive times of a client's bytes; none for other connections.
     receive_times: Option<ReceiveTimes>,
 }
 
-/// Guard of a wait for input: while it is held nothing stands unread on the connection.
+/// Guard of a wait for input: while it is held, the connection has no unread bytes.
 struct DrainedGuard<'a> {
     receive_times: &'a mut Option<ReceiveTimes>,
     since: Instant,
@@ -45,75 +45,80 @@
 }
 
 impl BufferedConnection {
-    /// A connection whose receive times are not recorded.
+    /// Creates a connection whose receive times are not recorded.
     pub(crate) fn new(stream: Stream) -> Self {
         BufferedConnection {
             stream,
             input: RingBuffer::default(),
             output: RingBuffer::default(),
-            turn: 0,
+            bytes_since_yield: 0,
             receive_times: None,
         }
     }
 
-    /// A client's connection, accepted after `since`; its receive times are recorded.
-    pub(crate) fn of_client(stream: Stream, since: Instant) -> Self {
+    /// Creates the connection of a client, accepted after `accepted_after`; its receive times are recorded.
+    pub(crate) fn for_client(stream: Stream, accepted_after: Instant) -> Self {
         BufferedConnection {
-            receive_times: Some(ReceiveTimes::new(since)),
+            receive_times: Some(ReceiveTimes::new(accepted_after)),
             ..BufferedConnection::new(stream)
         }
     }
 
-    /// The earliest time at which the last byte taken out of the input may have been received.
+    /// Returns the earliest time at which the last byte consumed from the input may have been received.
     pub(crate) fn received_at(&mut self) -> Instant {
-        let left = self.input.len();
+        let remaining = self.input.len();
         self.receive_times
             .as_mut()
-            .map_or_else(now, |receive_times| receive_times.on_taken(left))
+            .map_or_else(now, |receive_times| receive_times.on_taken(remaining))
     }
 
-    /// Connects; `kernel` is what the kernel is asked to keep each way, where that is bounded.
-    pub(crate) async fn connect(to: SocketAddr, kernel: Option<usize>) -> io::Result<Self> {
-        Ok(BufferedConnection::new(Stream::connect(to, kernel).await?))
+    /// Connects to `address`; `kernel_buffer` bounds the kernel's buffer of each direction, in bytes.
+    pub(crate) async fn connect(
+        address: SocketAddr,
+        kernel_buffer: Option<usize>,
+    ) -> io::Result<Self> {
+        Ok(BufferedConnection::new(
+            Stream::connect(address, kernel_buffer).await?,
+        ))
     }
 
-    /// The stream, to ask what of it stands in the kernel.
+    /// Returns a weak reference to the stream, through which its unacknowledged bytes can be read.
     pub(crate) fn stream(&self) -> WeakStream {
         self.stream.downgrade()
     }
 
-    /// The connection ends with what waits on it, at once, when it is dropped.
-    pub(crate) fn discard(&self) {
+    /// Makes the connection end with a reset when it is dropped; unsent bytes are discarded.
+    pub(crate) fn reset_on_drop(&self) {
         self.stream.discard();
     }
 
-    /// Lets the input take more of a message of `length`, and returns how long the buffer for that was waited for.
+    /// Raises the input's bound for a message of `length` bytes; returns how long the reservation was waited for.
     ///
-    /// Buffer for a long message is reserved as its bytes are received, at most as much again as is there: a peer that
-    /// announces much and sends nothing takes nothing from others.
-    pub(crate) async fn expect(
+    /// A long message's buffer is reserved in steps that at most double it as bytes are received: a peer that announces
+    /// a long message and sends nothing takes no memory from others.
+    pub(crate) async fn reserve_input(
         &mut self,
         length: usize,
-        peer: &Rc<ClientConnection>,
+        client: &Rc<ClientConnection>,
         kind: BufferKind,
-        room: &mut Option<BufferReservation>,
+        reservation: &mut Option<BufferReservation>,
     ) -> Duration {
         if self.input.space() > 0 || length <= self.input.bound {
             return Duration::ZERO;
         }
-        // More may stand here than the bound, where it was looked ahead.
-        let held = self.input.bound.max(self.input.len);
-        let bound = (2 * held).min(length);
-        let began = now();
-        let more = peer.reserve(kind, bound - held).await;
-        match room {
-            Some(room) => room.merge(more),
-            None => *room = Some(more),
+        // The input may be above its bound after it was extended for reading ahead.
+        let reserved = self.input.bound.max(self.input.len);
+        let bound = (2 * reserved).min(length);
+        let started = now();
+        let added = client.reserve(kind, bound - reserved).await;
+        match reservation {
+            Some(reservation) => reservation.merge(added),
+            None => *reservation = Some(added),
         }
         self.input.bound = bound;
-        let waited = since(began);
+        let waited = since(started);
         if !waited.is_zero() {
-            // Nothing was read meanwhile.
+            // Nothing was read while the reservation was waited for.
             self.receive_times
                 .iter_mut()
                 .for_each(ReceiveTimes::on_full);
@@ -121,27 +126,31 @@
         waited
     }
 
-    /// Lets the input take so much more than stands in it.
-    pub(crate) fn look_ahead(&mut self, bytes: usize) {
+    /// Lets the input take `bytes` more than it holds now.
+    pub(crate) fn extend_input_bound(&mut self, bytes: usize) {
         self.input.bound = self.input.len + bytes;
     }
 
-    /// The message has been taken out; the next one begins with the usual bound.
-    pub(crate) fn expect_usual(&mut self) {
+    /// Resets the input's bound to what needs no reservation, after a message was consumed.
+    pub(crate) fn reset_input_bound(&mut self) {
         self.input.bound = UNRESERVED_BYTES;
     }
 
-    /// Reads what is known to be there, without waiting; an end of the other side is an error.
-    pub(crate) fn read_now(&mut self) -> io::Result<usize> {
-        self.read_by(Stream::try_read)
+    /// Reads without waiting what the runtime has reported as readable.
+    ///
+    /// # Errors
+    ///
+    /// `WouldBlock` if there is nothing to read or no space, `UnexpectedEof` if the other side has closed.
+    pub(crate) fn try_read(&mut self) -> io::Result<usize> {
+        self.try_read_with(Stream::try_read)
     }
 
-    /// The same, and what came a moment ago as well, of which nobody has been told yet.
-    pub(crate) fn read_past(&mut self) -> io::Result<usize> {
-        self.read_by(Stream::read_past)
+    /// Like [`Self::try_read`], but also reads bytes for which the runtime has not reported readiness yet.
+    pub(crate) fn try_read_direct(&mut self) -> io::Result<usize> {
+        self.try_read_with(Stream::read_past)
     }
 
-    fn read_by(
+    fn try_read_with(
         &mut self,
         read: impl Fn(&Stream, &mut [IoSliceMut<'_>]) -> io::Result<usize>,
     ) -> io::Result<usize> {
@@ -149,7 +158,7 @@
             return Err(ErrorKind::WouldBlock.into());
         }
         self.input.reserve(MIN_SIZE);
-        let (front, back) = self.input.free();
+        let (front, back) = self.input.free_slices();
         let space = front.len() + back.len();
         let read = read(
             &self.stream,
@@ -159,7 +168,7 @@
             if let Ok(n) = read {
                 receive_times.on_read(n);
             }
-            // Less than was asked for is all there was.
+            // A read shorter than the space has taken all there was.
             if !matches!(read, Ok(n) if n == space) {
                 receive_times.on_drained(now(), Duration::ZERO);
             }
@@ -173,7 +182,7 @@
         }
     }
 
-    /// Waits until there is something to read.
+    /// Waits until the connection is readable, and records for a client how long it had nothing to read.
     async fn readable(&mut self) -> io::Result<()> {
         if self.receive_times.is_none() {
             return self.stream.readable().await;
@@ -191,10 +200,11 @@
         }
     }
 
-    /// Waits for more input; with a full ring only for the connection's end, whatever is still unread of it.
-    /// Safe to drop while it waits.
+    /// Waits for more input; with a full buffer, only for the end of the connection, whatever is still unread.
+    ///
+    /// Cancel safe: dropping the future loses no bytes.
     pub(crate) async fn read(&mut self) -> io::Result<usize> {
-        self.turn().await;
+        self.yield_if_due().await;
         loop {
             if self.input.space() == 0 {
                 self.receive_times
@@ -204,10 +214,10 @@
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             self.readable().await?;
-            match self.read_now() {
+            match self.try_read() {
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
                 Ok(n) => {
-                    self.turn += n;
+                    self.bytes_since_yield += n;
                     return Ok(n);
                 }
                 failed => return failed,
@@ -215,16 +225,17 @@
         }
     }
 
-    /// Lets others go on once this connection has moved a turn's bytes.
-    async fn turn(&mut self) {
-        if self.turn >= TURN_BYTES {
-            self.turn = 0;
+    /// Yields to other tasks once [`YIELD_THRESHOLD`] bytes have been read or written.
+    async fn yield_if_due(&mut self) {
+        if self.bytes_since_yield >= YIELD_THRESHOLD {
+            self.bytes_since_yield = 0;
             yield_now().await;
         }
     }
 
-    /// Waits until the other side takes more; what a client says meanwhile is read as far as there is room, so that
-    /// it is known when it came.
+    /// Waits until the connection is writable.
+    ///
+    /// Meanwhile a client's input is read as far as there is space, so that its receive times are recorded.
     async fn writable(&mut self) -> io::Result<()> {
         let stream = self.stream.clone();
         let mut writable = pin!(stream.writable());
@@ -234,10 +245,10 @@
                 writable = &mut writable => return writable,
                 readable = self.readable() => readable?,
             }
-            match self.read_now() {
+            match self.try_read() {
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
                 Ok(_) => {}
-                // It says nothing more; whether it still takes its answer the writing tells.
+                // The client sends nothing more; whether it still reads its answer shows when writing.
                 Err(_) => break,
             }
         }
@@ -249,19 +260,19 @@
         writable.await
     }
 
-    /// Writes some of the output, as much as the connection takes now.
+    /// Writes as much of the output as the kernel accepts at once; returns the number of bytes.
     async fn write_some(&mut self) -> io::Result<usize> {
-        self.turn().await;
+        self.yield_if_due().await;
         loop {
             self.writable().await?;
-            let (front, back) = self.output.parts();
+            let (front, back) = self.output.as_slices();
             match self
                 .stream
                 .try_write(&[IoSlice::new(front), IoSlice::new(back)])
             {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    self.turn += n;
+                    self.bytes_since_yield += n;
                     return Ok(self.output.skip(n));
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
@@ -270,8 +281,8 @@
         }
     }
 
-    /// Writes all of the parts, one after the other; `wrote` counts what the connection has taken.
-    pub(crate) async fn write(&mut self, parts: &[&[u8]], wrote: &Cell<usize>) -> io::Result<()> {
+    /// Writes all parts in order; adds to `written` the bytes that the kernel has accepted.
+    pub(crate) async fn write(&mut self, parts: &[&[u8]], written: &Cell<usize>) -> io::Result<()> {
         for part in parts {
             let mut part = *part;
             while !part.is_empty() {
@@ -279,32 +290,33 @@
                 part = &part[n..];
                 if self.output.space() == 0 {
                     let n = self.write_some().await?;
-                    wrote.set(wrote.get() + n);
+                    written.set(written.get() + n);
                 }
             }
         }
         while !self.output.is_empty() {
             let n = self.write_some().await?;
-            wrote.set(wrote.get() + n);
+            written.set(written.get() + n);
         }
         Ok(())
     }
 
-    /// Tells the other side that nothing more comes, and waits for its end; what it says from here on is left unread,
-    /// so that it can tell that nobody has taken it.
-    pub(crate) async fn finish_unread(&mut self) -> io::Result<()> {
+    /// Shuts down the write side and waits until the other side closes.
+    ///
+    /// What it still sends is left unread, so that the close resets the connection and the other side learns that the
+    /// bytes were not processed.
+    pub(crate) async fn shutdown_without_reading(&mut self) -> io::Result<()> {
         self.stream.finish()?;
         self.stream.wait_for_end().await;
         Ok(())
     }
 
-    /// Tells the other side that nothing more comes, and waits for its end, passing over what it still says,
-    /// up to so much.
-    pub(crate) async fn finish(&mut self, most: usize) -> io::Result<()> {
+    /// Shuts down the write side, then reads and discards up to `max_bytes` until the other side closes.
+    pub(crate) async fn shutdown_and_drain(&mut self, max_bytes: usize) -> io::Result<()> {
         self.stream.finish()?;
-        let mut passed = 0;
-        while passed < most {
-            passed += self.input.skip(self.input.len());
+        let mut discarded = 0;
+        while discarded < max_bytes {
+            discarded += self.input.skip(self.input.len());
             self.read().await?;
         }
         Ok(())
--- a/crates/gateway/src/io/receive_times.rs
+++ b/crates/gateway/src/io/receive_times.rs
@@ -1,10 +1,10 @@
 //! The times at which a client's bytes were received.
 //!
-//! A request's client timeout runs from the receipt of its last byte, however long the request then waits behind others.
+//! A request's client timeout runs from the receipt of its last byte, however long earlier requests then delay it.
 //!
 //! # Invariants
 //!
-//! A byte is never taken for younger than it is. A few that were received one after the other may count as received with
+//! A byte's recorded time is never later than its receipt. Bytes received shortly after each other may share the time of
 //! the first.
 
 use std::collections::VecDeque;
@@ -14,48 +14,51 @@
 
 /// Two round trips between data centres.
 ///
-/// What a client's system held back, as the buffers here took no more, has begun to arrive within this once there is room.
+/// Once there is space again, bytes that the client's kernel held back while the buffers here were full begin to arrive
+/// within this time.
 const TWO_ROUND_TRIPS: Duration = Duration::from_millis(5);
 
-/// More pieces than usual clients have under way at once; past it neighbours count as one.
+/// Most pieces that are recorded; above it, neighbouring pieces are merged.
+///
+/// It is more than clients usually have in flight at once.
 const MAX_PIECES: usize = 64;
 
-/// When the bytes that have been read were received, at the earliest.
+/// The earliest receive times of the bytes that were read and not yet consumed.
 pub struct ReceiveTimes {
-    /// Bytes read since the beginning.
+    /// Bytes read in total.
     total: u64,
-    /// End of each piece, counted in bytes since the beginning, and when it was received at the earliest.
+    /// The end of each piece, as an offset into all bytes read, and the earliest time at which it was received.
     pieces: VecDeque<(u64, Instant)>,
-    /// The last time at which nothing stood unread: what is read has been received since.
+    /// The last time at which nothing was unread: bytes read afterwards were received after it.
     drained_at: Instant,
-    /// The buffer took no more since then, so that the client's system may hold back what it has sent as well.
+    /// The buffer has been full since then, so the client's kernel may be holding back bytes that were already sent.
     full: bool,
 }
 
 impl ReceiveTimes {
-    /// Nothing was received before `at`.
-    pub fn new(at: Instant) -> Self {
+    /// Creates the record of a connection on which nothing was received before `start`.
+    pub fn new(start: Instant) -> Self {
         ReceiveTimes {
             total: 0,
             pieces: VecDeque::new(),
-            drained_at: at,
+            drained_at: start,
             full: false,
         }
     }
 
-    /// Nothing stands unread at `at`, and has not for `quiet`.
-    pub fn on_drained(&mut self, at: Instant, quiet: Duration) {
-        if !self.full || quiet >= TWO_ROUND_TRIPS {
+    /// Records that nothing is unread at `at`, and that nothing was for the `idle` time before.
+    pub fn on_drained(&mut self, at: Instant, idle: Duration) {
+        if !self.full || idle >= TWO_ROUND_TRIPS {
             (self.drained_at, self.full) = (at, false);
         }
     }
 
-    /// The buffer takes no more.
+    /// Records that the buffer is full.
     pub fn on_full(&mut self) {
         self.full = true;
     }
 
-    /// `bytes` bytes were read.
+    /// Records that `bytes` bytes were read.
     pub fn on_read(&mut self, bytes: usize) {
         self.total += bytes as u64;
         match self.pieces.back_mut() {
@@ -63,7 +66,7 @@
             _ => self.pieces.push_back((self.total, self.drained_at)),
         }
         if self.pieces.len() > MAX_PIECES {
-            // The later of two gives its end to the earlier one.
+            // Of each pair, the merged piece has the end of the later one and the time of the earlier one.
             let pairs = std::mem::take(&mut self.pieces)
                 .into_iter()
                 .collect::<Vec<_>>();
@@ -74,14 +77,14 @@
         }
     }
 
-    /// The time of the last byte that was taken out, where `left` bytes of what was read are still there.
-    pub fn on_taken(&mut self, left: usize) -> Instant {
-        let end = self.total - left as u64;
+    /// Records that all but the last `remaining` bytes read were consumed; returns the time of the last consumed byte.
+    pub fn on_taken(&mut self, remaining: usize) -> Instant {
+        let end = self.total - remaining as u64;
         while self.pieces.len() > 1 && self.pieces[0].0 < end {
             self.pieces.pop_front();
         }
         let at = self.pieces.front().map_or(self.drained_at, |(_, at)| *at);
-        if left == 0 {
+        if remaining == 0 {
             self.pieces = VecDeque::new();
         }
         at
--- a/crates/gateway/src/io/ring_buffer.rs
+++ b/crates/gateway/src/io/ring_buffer.rs
@@ -1,18 +1,18 @@
 //! A ring buffer of bytes.
 //!
-//! It begins small, grows up to its bound and gives its memory back once empty.
+//! It grows with its content up to a bound and frees memory above its initial size once it is empty.
 
 use leverpoint_engine::UNRESERVED_BYTES;
 
-/// Initial size, which holds a few requests or answers of the usual length.
+/// Initial size in bytes, enough for a few requests or answers of the usual length.
 pub(super) const MIN_SIZE: usize = 2 << 10;
 
-/// Bytes in the order in which they were appended.
+/// A first-in, first-out buffer of bytes.
 pub struct RingBuffer {
     bytes: Vec<u8>,
     head: usize,
     pub(super) len: usize,
-    /// Most bytes it may hold; raised for a message of known length.
+    /// Most bytes that it may hold; raised for a message of known length.
     pub(super) bound: usize,
 }
 
@@ -28,28 +28,28 @@
 }
 
 impl RingBuffer {
-    /// Number of bytes it holds.
+    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds no bytes.
+    /// Returns whether no bytes are held.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// How many bytes more it may take.
+    /// Returns how many more bytes the bound allows.
     pub fn space(&self) -> usize {
         self.bound.saturating_sub(self.len)
     }
 
-    /// Makes room for `more` bytes, as far as the bound allows.
+    /// Allocates for `more` further bytes, as far as the bound allows.
     pub(super) fn reserve(&mut self, more: usize) {
-        let wanted = (self.len + more).min(self.bound);
-        if wanted > self.bytes.len() {
+        let needed = (self.len + more).min(self.bound);
+        if needed > self.bytes.len() {
             let mut bytes = vec![
                 0;
-                wanted
+                needed
                     .next_power_of_two()
                     .clamp(MIN_SIZE.min(self.bound), self.bound)
             ];
@@ -58,8 +58,8 @@
         }
     }
 
-    /// The two parts of what is free, in order.
-    pub(super) fn free(&mut self) -> (&mut [u8], &mut [u8]) {
+    /// Returns the free space as two slices, in order.
+    pub(super) fn free_slices(&mut self) -> (&mut [u8], &mut [u8]) {
         let size = self.bytes.len();
         let end = self.head + self.len;
         if end >= size {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The two parts of what it holds, in order.
-    pub(super) fn parts(&self) -> (&[u8], &[u8]) {
+    /// Returns the content as two slices, in order.
+    pub(super) fn as_slices(&self) -> (&[u8], &[u8]) {
         let end = self.head + self.len;
         if end <= self.bytes.len() {
             (&self.bytes[self.head..end], &[])
@@ -84,24 +84,32 @@
         }
     }
 
-    /// Copies what stands from `at` on; the caller has made sure that it is there.
-    fn copy(&self, at: usize, to: &mut [u8]) {
-        let (front, back) = self.parts();
-        let from_front = front.len().saturating_sub(at).min(to.len());
-        to[..from_front].copy_from_slice(&front[at.min(front.len())..][..from_front]);
+    /// Fills `to` with the content from `offset` on.
+    ///
+    /// # Panics
+    ///
+    /// If the content ends before `to` is full.
+    fn copy(&self, offset: usize, to: &mut [u8]) {
+        let (front, back) = self.as_slices();
+        let from_front = front.len().saturating_sub(offset).min(to.len());
+        to[..from_front].copy_from_slice(&front[offset.min(front.len())..][..from_front]);
         let rest = to.len() - from_front;
-        let skipped = at.saturating_sub(front.len());
+        let skipped = offset.saturating_sub(front.len());
         to[from_front..].copy_from_slice(&back[skipped..skipped + rest]);
     }
 
-    /// The bytes from `at` on, where so many are there.
-    pub fn peek<const N: usize>(&self, at: usize) -> Option<[u8; N]> {
+    /// Copies `N` bytes from `offset` on without consuming them; none if fewer are held.
+    pub fn peek<const N: usize>(&self, offset: usize) -> Option<[u8; N]> {
         let mut out = [0; N];
-        (self.len >= at + N).then(|| self.copy(at, &mut out))?;
+        (self.len >= offset + N).then(|| self.copy(offset, &mut out))?;
         Some(out)
     }
 
-    /// Takes `n` bytes out; the caller has made sure that they are there.
+    /// Consumes the next `n` bytes.
+    ///
+    /// # Panics
+    ///
+    /// If fewer are held.
     pub fn take(&mut self, n: usize) -> Vec<u8> {
         let mut out = vec![0; n];
         self.copy(0, &mut out);
@@ -109,7 +117,7 @@
         out
     }
 
-    /// Drops the next `n` bytes, or all that are there; returns how many.
+    /// Consumes up to `n` bytes without returning them; returns how many.
     pub fn skip(&mut self, n: usize) -> usize {
         let n = n.min(self.len);
         self.head = (self.head + n) % self.bytes.len().max(1);
@@ -123,14 +131,14 @@
         n
     }
 
-    /// Appends as much as the bound allows; returns how much.
+    /// Appends as many of the bytes as the bound allows; returns how many.
     pub fn push(&mut self, bytes: &[u8]) -> usize {
         let n = bytes.len().min(self.space());
         if n == 0 {
             return 0;
         }
         self.reserve(n);
-        let (front, back) = self.free();
+        let (front, back) = self.free_slices();
         let in_front = n.min(front.len());
         front[..in_front].copy_from_slice(&bytes[..in_front]);
         back[..n - in_front].copy_from_slice(&bytes[in_front..n]);
--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -80,7 +80,7 @@
             read.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
         } else {
             // What is there already needs no timer.
-            match socket.read_now() {
+            match socket.try_read() {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     let look = now() + ticks_to_duration(self.trickle.check_interval());
                     timeout_at(look, socket.read()).await.unwrap_or(Ok(0))?;
@@ -261,7 +261,7 @@
         loop {
             let length = match messages::decode_message(&mut self.socket.input) {
                 DecodeResult::Message(tag, body) => {
-                    self.socket.expect_usual();
+                    self.socket.reset_input_bound();
                     return Ok(AnswerMessage { tag, body, room });
                 }
                 DecodeResult::TooLong | DecodeResult::InvalidLength => {
@@ -271,9 +271,9 @@
             };
             let order = progress.order;
             if let Some(peer) = &order.client {
-                let reserved = self
-                    .socket
-                    .expect(length, peer, BufferKind::Response, &mut room);
+                let reserved =
+                    self.socket
+                        .reserve_input(length, peer, BufferKind::Response, &mut room);
                 let waited = reserved.await;
                 progress.trickle.excuse(duration_to_ticks(waited));
             }
--- a/crates/gateway/src/server/connection.rs
+++ b/crates/gateway/src/server/connection.rs
@@ -67,7 +67,7 @@
         loop {
             match messages::decode_message(&mut self.socket.input) {
                 DecodeResult::Message(tag, body) => {
-                    self.socket.expect_usual();
+                    self.socket.reset_input_bound();
                     return Ok((tag, body));
                 }
                 DecodeResult::TooLong | DecodeResult::InvalidLength => {
@@ -111,14 +111,14 @@
 
     /// Whether nothing is known to have been received, nor the connection to have ended, while it was idle.
     pub(super) fn is_quiet(&mut self) -> bool {
-        matches!(self.socket.read_now(), Err(e) if e.kind() == ErrorKind::WouldBlock)
+        matches!(self.socket.try_read(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
     /// The same, asked of the operating system as well.
     pub(super) fn is_surely_quiet(&mut self) -> bool {
         // In this order: what the runtime knew is cleared with it, or an answer that comes at once would count as
         // there before.
-        matches!(self.socket.read_past(), Err(e) if e.kind() == ErrorKind::WouldBlock)
+        matches!(self.socket.try_read_direct(), Err(e) if e.kind() == ErrorKind::WouldBlock)
             && self.is_quiet()
     }
 }
