--- a/crates/gateway/src/postgres/cancel_keys.rs
+++ b/crates/gateway/src/postgres/cancel_keys.rs
@@ -1,9 +1,9 @@
-//! The keys by which a client may cancel its request from another connection, as PostgreSQL's protocol has it.
+//! Cancel keys: a CancelRequest of PostgreSQL's protocol names by them the connection whose request is to be cancelled.
 //!
 //! # Invariants
 //!
-//! A cancel ends the request that is open on the connection with that key, and never a later one: where none is open
-//! nothing is remembered. A key is forgotten with its connection.
+//! A cancel ends the request that is open on the connection with that key, never a later one: if none is open, the
+//! cancel has no effect. A key is removed when its connection ends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,12 +13,13 @@
 use leverpoint_runtime::{Instant, now, unguessable};
 use tokio::sync::Notify;
 
-/// A request accepted this long after the connection of a cancel had come up was sent after the cancel.
+/// Longest time from the accept of a cancel's connection to the accept of a request that the cancel may still end.
 ///
-/// It is far longer than a turn of the event loop, in which both may have been received.
-const SENT_AFTER_CANCEL: Duration = Duration::from_millis(20);
+/// A request accepted later was sent after the cancel. The time is far longer than an iteration of the event loop, in
+/// which both may have been received.
+const MAX_REQUEST_DELAY: Duration = Duration::from_millis(20);
 
-/// The open connections by their keys; no more than there are descriptors for.
+/// The open connections by their keys; the number of descriptors bounds them.
 #[derive(Default)]
 pub(crate) struct CancelKeys {
     connections: RefCell<BTreeMap<u64, Rc<RequestSlot>>>,
@@ -28,31 +29,31 @@
 #[derive(Clone, Copy, PartialEq)]
 enum RequestState {
     Idle,
-    /// A request is open that was accepted then.
+    /// A request is open; holds when it was accepted.
     Open(Instant),
     Cancelled,
 }
 
-/// The request of one connection, and who waits for its cancel.
+/// The request of one connection, and the notification of its cancel.
 struct RequestSlot {
     state: Cell<RequestState>,
     notify: Notify,
 }
 
-/// A connection's key; it is forgotten when dropped.
+/// The key of one connection; removed from the table when dropped.
 pub(crate) struct CancelKey {
     keys: Rc<CancelKeys>,
     number: u64,
     slot: Rc<RequestSlot>,
 }
 
-/// Guard of a request that is open on the connection.
+/// Guard of an open request; the connection counts as idle again when it is dropped.
 pub(crate) struct OpenRequest<'a>(&'a CancelKey);
 
 impl CancelKeys {
-    /// Creates the key of a new connection, which is unguessable and unique.
+    /// Creates an unguessable, unique key for a new connection.
     ///
-    /// None where the system has no random numbers: the requests of that connection can't be cancelled.
+    /// None if the system provides no random numbers: the requests of that connection can't be cancelled then.
     pub(crate) fn create(self: &Rc<Self>) -> Option<CancelKey> {
         let slot = Rc::new(RequestSlot {
             state: Cell::new(RequestState::Idle),
@@ -71,19 +72,19 @@
         })
     }
 
-    /// Number of keys.
+    /// Returns the number of connections with a key.
     pub(crate) fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Cancels the request that is open under the key, for a cancel whose connection came up at `connected`.
+    /// Cancels the request that is open on the connection with key `number`; an unknown key has no effect.
     ///
-    /// An unknown key changes nothing.
+    /// `connected` is the time at which the cancel's own connection was accepted.
     pub(crate) fn cancel(&self, number: u64, connected: Instant) {
         let slot = self.connections.borrow().get(&number).cloned();
         let Some(slot) = slot else { return };
         if let RequestState::Open(accepted) = slot.state.get()
-            && accepted <= connected + SENT_AFTER_CANCEL
+            && accepted <= connected + MAX_REQUEST_DELAY
         {
             slot.state.set(RequestState::Cancelled);
             slot.notify.notify_waiters();
@@ -92,7 +93,7 @@
 }
 
 impl CancelKey {
-    /// The eight bytes that the protocol carries.
+    /// Returns the key as the eight bytes of BackendKeyData.
     pub(crate) fn bytes(&self) -> [u8; 8] {
         self.number.to_be_bytes()
     }
--- a/crates/gateway/src/postgres/messages.rs
+++ b/crates/gateway/src/postgres/messages.rs
@@ -1,41 +1,41 @@
-//! The messages of PostgreSQL's protocol version 3, both ways: framing, and the few that the gateway needs.
+//! Messages of PostgreSQL's protocol version 3: framing, and encoding and parsing of the few that the gateway uses.
 
 use leverpoint_engine::UNRESERVED_BYTES;
 
 use crate::io::ring_buffer::RingBuffer;
 
-/// Longest value in bytes.
+/// Longest value of a row in bytes.
 const MAX_VALUE: usize = 64 << 10;
 /// Longest message in bytes: a value as hex text is twice its length, and the rest of a message is far below 8 KiB.
 pub const MAX_MESSAGE: usize = (128 + 8) << 10;
-/// Longest startup packet in bytes: what a buffer takes without a reservation.
+/// Longest startup packet in bytes: what a buffer holds without a reservation.
 const MAX_STARTUP_PACKET: usize = UNRESERVED_BYTES;
 
-/// Code of an SSLRequest.
+/// Code by which a startup packet asks for TLS.
 pub const SSL_REQUEST: i32 = 80_877_103;
-/// Code of a GSSENCRequest.
+/// Code by which a startup packet asks for GSSAPI encryption.
 pub const GSSENC_REQUEST: i32 = 80_877_104;
-/// Code of a CancelRequest.
+/// Code of a packet that asks for the cancellation of another connection's request.
 pub const CANCEL_REQUEST: i32 = 80_877_102;
 
-/// A length that can't be: framing is lost.
+/// The length of a startup packet is out of range, so that the next packet's start is unknown.
 #[derive(Debug, PartialEq)]
 pub struct InvalidPacketLength;
 
-/// The next message of a buffer.
+/// Result of decoding the next message of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum DecodeResult {
-    /// More bytes are needed for the message: so many in all, 0 while its length is not known.
+    /// The message is incomplete; holds its length in bytes, or 0 while that is unknown.
     Incomplete(usize),
     /// A message with its type and body.
     Message(u8, Vec<u8>),
-    /// A message longer than is taken.
+    /// The message is longer than [`MAX_MESSAGE`].
     TooLong,
-    /// The length is impossible: framing is lost.
+    /// The length field is below its own size, so that the next message's start is unknown.
     InvalidLength,
 }
 
-/// Takes the next message out of the buffer, once it is there whole.
+/// Decodes the next message and consumes it if it is complete.
 pub fn decode_message(buffer: &mut RingBuffer) -> DecodeResult {
     let Some([tag, a, b, c, d]) = buffer.peek::<5>(0) else {
         return DecodeResult::Incomplete(0);
@@ -55,16 +55,20 @@
     DecodeResult::Message(tag, buffer.take(whole - 5))
 }
 
-/// The first packet of a connection: its code and what follows; it carries no type.
+/// Decodes a startup packet, which has no type byte, into its code and body; none while it is incomplete.
+///
+/// # Errors
+///
+/// The packet's length is out of range.
 pub fn decode_startup_packet(
     buffer: &mut RingBuffer,
 ) -> Result<Option<(i32, Vec<u8>)>, InvalidPacketLength> {
     let Some(head) = buffer.peek::<8>(0) else {
         return Ok(None);
     };
-    let number =
+    let field =
         |at: usize| i32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let whole = usize::try_from(number(0)).map_err(|_| InvalidPacketLength)?;
+    let whole = usize::try_from(field(0)).map_err(|_| InvalidPacketLength)?;
     if !(8..=MAX_STARTUP_PACKET).contains(&whole) {
         return Err(InvalidPacketLength);
     }
@@ -72,10 +76,10 @@
         return Ok(None);
     }
     buffer.skip(8);
-    Ok(Some((number(4), buffer.take(whole - 8))))
+    Ok(Some((field(4), buffer.take(whole - 8))))
 }
 
-/// Appends a message.
+/// Appends a message of type `tag`; its body is the concatenation of `body`.
 pub fn put_message(out: &mut Vec<u8>, tag: u8, body: &[&[u8]]) {
     let length: usize = 4 + body.iter().map(|part| part.len()).sum::<usize>();
     out.push(tag);
@@ -83,11 +87,11 @@
     body.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-/// The messages that admit a client; `key` is the one by which it may cancel requests.
+/// Encodes the messages that admit a client; `key` is its cancel key, `minor` the minor version that it asked for.
 pub fn startup_response(minor: i32, key: Option<[u8; 8]>) -> Vec<u8> {
     let mut out = Vec::new();
     if minor > 0 {
-        // The newest minor version known here, and no option that was not understood.
+        // NegotiateProtocolVersion: the newest minor version supported is 0, and no option is reported as unknown.
         put_message(&mut out, b'v', &[&0i32.to_be_bytes(), &0i32.to_be_bytes()]);
     }
     put_message(&mut out, b'R', &[&0i32.to_be_bytes()]);
@@ -112,12 +116,12 @@
     out
 }
 
-/// Appends a ReadyForQuery outside of a transaction.
+/// Appends a ReadyForQuery with the status of no open transaction.
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Appends an ErrorResponse; `fatal` where the connection ends with it.
+/// Appends an ErrorResponse with a SQLSTATE; `fatal` if the connection is closed after it.
 pub fn put_error_response(
     out: &mut Vec<u8>,
     fatal: bool,
@@ -143,7 +147,7 @@
     put_message(out, b'E', &body);
 }
 
-/// Appends a NoticeResponse.
+/// Appends a NoticeResponse with a text and a detail.
 pub fn put_notice_response(out: &mut Vec<u8>, text: &str, detail: &str) {
     let body = [
         b"SNOTICE\0VNOTICE\0C00000\0M",
@@ -155,7 +159,7 @@
     put_message(out, b'N', &body);
 }
 
-/// The StartupMessage to a server.
+/// Encodes the StartupMessage that the gateway sends to a server.
 pub fn startup_message() -> Vec<u8> {
     let parameters = b"user\0svc\0database\0main\0\0";
     let mut out = ((8 + parameters.len()) as u32).to_be_bytes().to_vec();
@@ -164,15 +168,17 @@
     out
 }
 
-/// The five-character code of an ErrorResponse that is whole: fields of a letter and a text, each ended by a zero
-/// byte, and one more at the end.
+/// Returns the SQLSTATE, five characters, of an ErrorResponse; none if the body is malformed.
+///
+/// The body consists of fields, each a letter and a text ended by a zero byte, and one more zero byte at the end.
 pub fn sqlstate(body: &[u8]) -> Option<&[u8]> {
     let fields = body.strip_suffix(b"\0\0")?;
-    let code = |field: &[u8]| field.len() == 6 && field[1..].iter().all(u8::is_ascii_alphanumeric);
+    let is_sqlstate =
+        |field: &[u8]| field.len() == 6 && field[1..].iter().all(u8::is_ascii_alphanumeric);
     let mut found = None;
     for field in fields.split(|&b| b == 0) {
         match field.first()? {
-            b'C' if found.is_none() && code(field) => found = Some(&field[1..]),
+            b'C' if found.is_none() && is_sqlstate(field) => found = Some(&field[1..]),
             b'C' => return None,
             letter if letter.is_ascii_alphabetic() => {}
             _ => return None,
@@ -181,16 +187,16 @@
     found
 }
 
-/// Name and value of a ParameterStatus.
+/// Parses a ParameterStatus into name and value.
 pub fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let text = std::str::from_utf8(body).ok()?;
-    let mut words = text.split('\0');
-    Some((words.next()?, words.next()?))
+    let mut fields = text.split('\0');
+    Some((fields.next()?, fields.next()?))
 }
 
-/// Whether a RowDescription is of one column, whole and with nothing behind it.
+/// Returns whether a RowDescription describes exactly one column, without trailing bytes.
 pub fn describes_one_column(body: &[u8]) -> bool {
-    // A name ended by a zero byte, then eighteen bytes of numbers.
+    // The column's name ended by a zero byte, then its numeric fields, eighteen bytes in all.
     let name_and_rest = body.strip_prefix(&[0, 1]).unwrap_or_default();
     name_and_rest
         .iter()
@@ -198,7 +204,7 @@
         .is_some_and(|end| name_and_rest.len() == end + 1 + 18)
 }
 
-/// Whether a DataRow is of one value whose length is that of what is there.
+/// Returns whether a DataRow holds exactly one value of at most [`MAX_VALUE`] bytes, as long as its length field says.
 pub fn holds_one_value(body: &[u8]) -> bool {
     let value = body
         .strip_prefix(&[0, 1])
@@ -208,7 +214,7 @@
     })
 }
 
-/// Whether a CommandComplete is that of one row read or written.
+/// Returns whether a CommandComplete reports one row, inserted if `write`, else selected.
 pub fn completes_one_row(body: &[u8], write: bool) -> bool {
     body == if write {
         &b"INSERT 0 1\0"[..]
--- a/crates/gateway/src/postgres/mod.rs
+++ b/crates/gateway/src/postgres/mod.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol: message framing, the comment that a query carries, and cancel keys.
+//! PostgreSQL's protocol: messages, the request header in a query's comment, and cancel keys.
 
 pub(crate) mod cancel_keys;
 pub mod messages;
