--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The format of endpoint lists, as discovery and the configuration write them, in JSON.
+//! The JSON format of endpoint lists, in discovery's responses and in the configuration.
 
 use std::fmt::{self, Formatter};
 
@@ -12,15 +12,15 @@
 /// An endpoint list, or its changes since an earlier revision.
 #[derive(Debug, PartialEq)]
 pub struct EndpointList {
-    /// Discovery's revision of the list.
+    /// Revision that discovery has given the list.
     pub revision: u64,
-    /// Whether it is a full listing rather than changes.
+    /// Whether the entries are a full listing rather than changes.
     pub full: bool,
-    /// The endpoints.
+    /// All endpoints, or those that have changed.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// Parses a list; none where the text is no list. An entry without a `uid` is left out.
+/// Parses an endpoint list; none if the text is not one. Entries without a `uid` are left out.
 pub fn parse_endpoint_list(text: &[u8]) -> Option<EndpointList> {
     let ListJson { rev, all, targets } = serde_json::from_slice(text).ok()?;
     Some(EndpointList {
@@ -30,7 +30,7 @@
     })
 }
 
-/// A list with the names of the wire.
+/// An endpoint list with the keys that it has in JSON.
 #[derive(Deserialize)]
 struct ListJson {
     rev: u64,
@@ -38,11 +38,12 @@
     targets: Targets,
 }
 
-/// Entries, parsed one at a time: the tree of a list of ten thousand would not fit into the smallest machine's memory.
+/// Entries, parsed one at a time: the JSON tree of a list of ten thousand servers would not fit into the memory of the
+/// smallest supported host.
 struct Targets(Vec<EndpointEntry>);
 
 impl<'de> Deserialize<'de> for Targets {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         struct EntryVisitor;
 
         impl<'de> Visitor<'de> for EntryVisitor {
@@ -61,11 +62,13 @@
             }
         }
 
-        from.deserialize_seq(EntryVisitor)
+        deserializer.deserialize_seq(EntryVisitor)
     }
 }
 
-/// Parses an entry; its keys are those of the wire.
+/// Parses one entry of `targets`; none without a `uid`.
+///
+/// An entry whose `state` is missing or unknown counts as gone.
 fn parse_entry(value: &Value) -> Option<EndpointEntry> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     let number = |name: &str| {
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: its format, one HTTP call for it, and the watch that keeps it up to date.
+//! The endpoint list of discovery: its format, the HTTP client, and the watch that keeps the list up to date.
 
 pub mod endpoint_list;
 mod http;
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the endpoint list: makes the polls that [`EndpointWatch`] decides on, and reports their outcomes to the
-//! exchange.
+//! The watch of the endpoint list: makes the polls that [`EndpointWatch`] schedules, and reports their outcomes to the
+//! engine.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -22,43 +22,43 @@
 use crate::discovery::http::{LastReceived, PollError, Response, get};
 use crate::io::connection::BufferedConnection;
 
-/// Most servers that the log names of those that drain or are gone.
+/// Most draining servers, and most gone ones, that a log line names.
 const MAX_LOGGED_SERVERS: usize = 16;
 
 /// The address of discovery, which a reloaded configuration may change.
 pub struct DiscoveryAddress {
     address: Cell<SocketAddr>,
-    moved: Notify,
+    changed: Notify,
 }
 
 impl DiscoveryAddress {
-    /// Discovery at this address.
+    /// Creates the shared address of discovery.
     pub fn new(address: SocketAddr) -> Rc<Self> {
         Rc::new(DiscoveryAddress {
             address: Cell::new(address),
-            moved: Notify::new(),
+            changed: Notify::new(),
         })
     }
 
-    /// Changes the address at once; returns whether it is another than before.
+    /// Changes the address, which [`run`] then polls at once; returns whether it differs from the previous one.
     pub fn set(&self, address: SocketAddr) -> bool {
-        let moved = self.address.replace(address) != address;
-        if moved {
-            self.moved.notify_one();
+        let changed = self.address.replace(address) != address;
+        if changed {
+            self.changed.notify_one();
         }
-        moved
+        changed
     }
 }
 
-/// Watches the list for as long as the gateway runs.
+/// Watches the endpoint list; never returns.
 ///
-/// Discovery at a changed address is polled at once; until it has answered the list stands as it is.
-pub async fn run(agent: Rc<DiscoveryAddress>, exchange: Rc<Engine>, log: slog::Logger) {
-    let mut watcher = ListWatcher::new(&agent, exchange, log);
+/// Discovery at a changed address is polled at once; the list stays in use until it has answered.
+pub async fn run(discovery: Rc<DiscoveryAddress>, engine: Rc<Engine>, log: slog::Logger) {
+    let mut watcher = ListWatcher::new(&discovery, engine, log);
     loop {
         tokio::select! {
             biased;
-            () = agent.moved.notified() => watcher.on_address_changed(agent.address.get()),
+            () = discovery.changed.notified() => watcher.on_address_changed(discovery.address.get()),
             () = watcher.step() => {}
         }
     }
@@ -66,46 +66,47 @@
 
 type PollFuture = Pin<Box<dyn Future<Output = Result<Response, PollError>>>>;
 
-/// A poll that has not been answered.
-struct PollInFlight {
+/// A request to discovery that has not been answered.
+struct InFlightPoll {
+    /// The id that the schedule has given the poll.
     id: u64,
     path: String,
-    began: Instant,
+    started: Instant,
     last_received: LastReceived,
     future: PollFuture,
 }
 
-/// The watch of the endpoint list: the polls in flight and the state that decides on the next one.
+/// State of the watch: the polls in flight and the schedule of further ones.
 struct ListWatcher {
     address: SocketAddr,
-    exchange: Rc<Engine>,
-    calls: EndpointWatch,
-    in_flight: Vec<PollInFlight>,
-    /// A connection that the last call has left open.
-    kept: Option<BufferedConnection>,
-    /// Times that `calls` is told count from here.
+    engine: Rc<Engine>,
+    schedule: EndpointWatch,
+    in_flight: Vec<InFlightPoll>,
+    /// The connection of the last response, if discovery keeps it open.
+    idle_connection: Option<BufferedConnection>,
+    /// Time zero of the schedule's ticks.
     epoch: Instant,
     poll_log: PollLog,
 }
 
 impl ListWatcher {
-    fn new(agent: &DiscoveryAddress, exchange: Rc<Engine>, log: slog::Logger) -> Self {
-        let facts = &exchange.settings.routing;
-        let remembered = exchange
+    fn new(discovery: &DiscoveryAddress, engine: Rc<Engine>, log: slog::Logger) -> Self {
+        let routing = &engine.settings.routing;
+        let restored_revision = engine
             .has_endpoint_list()
-            .then(|| exchange.endpoint_list_revision());
-        let calls = EndpointWatch::new(
-            facts.endpoint_list.pushed,
-            facts.protection.drain_grace,
-            remembered,
-            facts.seed ^ facts.gateway_index as u64,
+            .then(|| engine.endpoint_list_revision());
+        let schedule = EndpointWatch::new(
+            routing.endpoint_list.pushed,
+            routing.protection.drain_grace,
+            restored_revision,
+            routing.seed ^ routing.gateway_index as u64,
         );
         ListWatcher {
-            address: agent.address.get(),
-            exchange,
-            calls,
+            address: discovery.address.get(),
+            engine,
+            schedule,
             in_flight: Vec::new(),
-            kept: None,
+            idle_connection: None,
             epoch: now(),
             poll_log: PollLog::new(log),
         }
@@ -115,32 +116,32 @@
         (at.saturating_duration_since(self.epoch).as_nanos() / 100_000) as Ticks
     }
 
-    /// Starts over at another address.
+    /// Drops all polls and starts anew at another address.
     fn on_address_changed(&mut self, address: SocketAddr) {
         self.address = address;
         self.in_flight.clear();
-        self.kept = None;
-        self.calls.on_discovery_moved();
-        self.exchange.on_discovery_outcome(DiscoveryOutcome::Moved);
+        self.idle_connection = None;
+        self.schedule.on_discovery_moved();
+        self.engine.on_discovery_outcome(DiscoveryOutcome::Moved);
     }
 
-    /// Starts or gives up one poll, or waits for the next event.
+    /// Starts or abandons one poll, or waits until a poll finishes or the next action is due.
     async fn step(&mut self) {
-        for call in &self.in_flight {
-            if let Some(at) = call.last_received.get() {
-                self.calls.on_answer_progress(call.id, self.ticks(at));
+        for poll in &self.in_flight {
+            if let Some(at) = poll.last_received.get() {
+                self.schedule.on_answer_progress(poll.id, self.ticks(at));
             }
         }
-        match self.calls.next_action(self.ticks(now())) {
+        match self.schedule.next_action(self.ticks(now())) {
             WatchAction::Begin { id, call } => self.begin(id, call),
             WatchAction::Abandon { id } => self.abandon(id),
             WatchAction::Wait { until } => {
-                // Rounded up, so that the time has come once this is over.
+                // One tick later, so that rounding can't end the sleep before the action is due.
                 let until = self.epoch + ticks_to_duration(until + 1);
                 tokio::select! {
                     biased;
-                    (at, result) = first_finished(&mut self.in_flight) => {
-                        let poll = self.in_flight.remove(at);
+                    (index, result) = first_finished(&mut self.in_flight) => {
+                        let poll = self.in_flight.remove(index);
                         self.on_poll_finished(poll, result);
                     }
                     () = sleep_until(until) => {}
@@ -149,43 +150,43 @@
         }
     }
 
-    /// Starts a poll.
-    fn begin(&mut self, id: u64, what: Call) {
-        let path = match what {
+    /// Starts a poll; the schedule refers to it by `id`.
+    fn begin(&mut self, id: u64, call: Call) {
+        let path = match call {
             Call::Full => "/api/targets".to_owned(),
             Call::Watch { since, wait } => format!("/api/targets?index={since}&wait={}", wait / 10),
         };
         let last_received = LastReceived::default();
         let future = Box::pin(get(
             self.address,
-            self.kept.take(),
+            self.idle_connection.take(),
             path.clone(),
             last_received.clone(),
         ));
-        self.in_flight.push(PollInFlight {
+        self.in_flight.push(InFlightPoll {
             id,
             path,
-            began: now(),
+            started: now(),
             last_received,
             future,
         });
     }
 
-    /// Gives up a poll.
+    /// Drops a poll and counts it as timed out.
     fn abandon(&mut self, id: u64) {
-        if let Some(at) = self.in_flight.iter().position(|call| call.id == id) {
-            let call = self.in_flight.remove(at);
-            self.failed(&call, &PollError::TimedOut);
+        if let Some(index) = self.in_flight.iter().position(|poll| poll.id == id) {
+            let poll = self.in_flight.remove(index);
+            self.on_poll_failed(&poll, &PollError::TimedOut);
         }
     }
 
-    /// Takes the result of a poll.
-    fn on_poll_finished(&mut self, call: PollInFlight, result: Result<Response, PollError>) {
+    /// Handles the result of a poll: uses its list or reports its failure.
+    fn on_poll_finished(&mut self, poll: InFlightPoll, result: Result<Response, PollError>) {
         let at = self.ticks(now());
-        let (list, kept) = match result {
-            Ok(answer) => (
-                parse_endpoint_list(&answer.body).ok_or(PollError::NotAList),
-                answer.kept,
+        let (list, idle_connection) = match result {
+            Ok(response) => (
+                parse_endpoint_list(&response.body).ok_or(PollError::InvalidList),
+                response.idle_connection,
             ),
             Err(error) => (Err(error), None),
         };
@@ -195,21 +196,21 @@
                 let failure = match error {
                     PollError::Refused(_) => Failure::Refused,
                     PollError::Unreachable(_) => Failure::Unreachable,
-                    PollError::Status(_)
-                    | PollError::Broken(_)
-                    | PollError::NotAList
+                    PollError::UnexpectedStatus(_)
+                    | PollError::Io(_)
+                    | PollError::InvalidList
                     | PollError::TimedOut => Failure::Broken,
                 };
-                match self.calls.on_failed(call.id, at, failure) {
-                    FailureEvidence::Refused => self
-                        .exchange
-                        .on_discovery_outcome(DiscoveryOutcome::Refused),
+                match self.schedule.on_failed(poll.id, at, failure) {
+                    FailureEvidence::Refused => {
+                        self.engine.on_discovery_outcome(DiscoveryOutcome::Refused)
+                    }
                     FailureEvidence::Unreachable { ago } => self
-                        .exchange
+                        .engine
                         .on_discovery_outcome(DiscoveryOutcome::Unreachable { ago }),
                     FailureEvidence::None => {}
                 }
-                self.failed(&call, &error);
+                self.on_poll_failed(&poll, &error);
                 return;
             }
         };
@@ -217,51 +218,52 @@
             revision: list.revision,
             full: list.full,
         };
-        match self.calls.on_answered(call.id, at, answer) {
+        match self.schedule.on_answered(poll.id, at, answer) {
             AnswerUse::Use => {
-                self.kept = kept;
+                self.idle_connection = idle_connection;
                 self.in_flight.clear();
                 self.on_list(&list);
             }
-            AnswerUse::Ignore => self.failed(&call, &PollError::NotAList),
+            AnswerUse::Ignore => self.on_poll_failed(&poll, &PollError::InvalidList),
         }
     }
 
-    /// Gives a list to the exchange.
+    /// Passes a list to the engine.
     fn on_list(&mut self, list: &EndpointList) {
-        increment(&self.exchange.metrics.lists_received);
-        self.poll_log.answered(list);
+        increment(&self.engine.metrics.lists_received);
+        self.poll_log.on_list(list);
         if list.full || !list.entries.is_empty() {
             let update = if list.full {
                 EndpointUpdate::Full
             } else {
                 EndpointUpdate::Changes
             };
-            self.exchange
+            self.engine
                 .on_endpoint_list(update, list.revision, &list.entries);
         }
-        self.exchange
+        self.engine
             .on_discovery_outcome(DiscoveryOutcome::Confirmed);
     }
 
-    fn failed(&mut self, call: &PollInFlight, error: &PollError) {
-        let counters = &self.exchange.metrics;
-        increment(&counters.list_failures);
+    /// Counts and logs a failed poll.
+    fn on_poll_failed(&mut self, poll: &InFlightPoll, error: &PollError) {
+        let metrics = &self.engine.metrics;
+        increment(&metrics.list_failures);
         match error {
-            PollError::TimedOut => increment(&counters.list_timeouts),
-            PollError::Refused(_) => increment(&counters.list_refusals),
+            PollError::TimedOut => increment(&metrics.list_timeouts),
+            PollError::Refused(_) => increment(&metrics.list_refusals),
             _ => {}
         }
-        self.poll_log.failed(call, error, &self.exchange);
+        self.poll_log.on_failed(poll, error, &self.engine);
     }
 }
 
 /// Waits for the first of these polls to finish; returns its index and result.
-async fn first_finished(in_flight: &mut [PollInFlight]) -> (usize, Result<Response, PollError>) {
+async fn first_finished(in_flight: &mut [InFlightPoll]) -> (usize, Result<Response, PollError>) {
     poll_fn(|context| {
-        for (at, call) in in_flight.iter_mut().enumerate() {
-            if let Poll::Ready(result) = call.future.as_mut().poll(context) {
-                return Poll::Ready((at, result));
+        for (index, poll) in in_flight.iter_mut().enumerate() {
+            if let Poll::Ready(result) = poll.future.as_mut().poll(context) {
+                return Poll::Ready((index, result));
             }
         }
         Poll::Pending
@@ -269,12 +271,13 @@
     .await
 }
 
-/// Logs polls: every list that changes something, the first of consecutive failures, then each time that their number has
-/// doubled, and the end of the failures.
+/// Logs polls: every list that has entries, the first of consecutive failures and each time that their number has doubled,
+/// and the first list after failures.
 struct PollLog {
     log: slog::Logger,
-    /// Calls failed since the last answer, and when the first of them was found out.
+    /// Polls that have failed since the last list.
     failures: u64,
+    /// When the first of these failures was found.
     failing_since: Option<Instant>,
 }
 
@@ -287,15 +290,15 @@
         }
     }
 
-    fn answered(&mut self, list: &EndpointList) {
-        if let Some(began) = self.failing_since.take() {
+    fn on_list(&mut self, list: &EndpointList) {
+        if let Some(started) = self.failing_since.take() {
             slog::info!(self.log, "discovery answers again"; "revision" => list.revision,
-                "failed_calls" => self.failures, "failing_ms" => since(began).as_millis());
+                "failed_calls" => self.failures, "failing_ms" => since(started).as_millis());
         }
         self.failures = 0;
-        let named = |phase: EndpointState| {
-            let of_phase = list.entries.iter().filter(|entry| entry.state == phase);
-            of_phase
+        let uids_in_state = |state: EndpointState| {
+            let matching = list.entries.iter().filter(|entry| entry.state == state);
+            matching
                 .take(MAX_LOGGED_SERVERS)
                 .map(|entry| entry.uid.as_str())
                 .collect::<Vec<_>>()
@@ -303,18 +306,19 @@
         };
         if !list.entries.is_empty() {
             slog::info!(self.log, "endpoint list updated"; "revision" => list.revision, "whole" => list.full,
-                "entries" => list.entries.len(), "draining" => named(EndpointState::Draining), "gone" => named(EndpointState::Gone));
+                "entries" => list.entries.len(), "draining" => uids_in_state(EndpointState::Draining),
+                "gone" => uids_in_state(EndpointState::Gone));
         }
     }
 
-    fn failed(&mut self, call: &PollInFlight, error: &PollError, exchange: &Engine) {
+    fn on_failed(&mut self, poll: &InFlightPoll, error: &PollError, engine: &Engine) {
         self.failures += 1;
         self.failing_since.get_or_insert_with(now);
         if self.failures.is_power_of_two() {
-            let (age, _) = exchange.endpoint_list_age();
-            slog::warn!(self.log, "discovery failed"; "why" => error.to_string(), "call" => &call.path,
-                "took_ms" => since(call.began).as_millis(), "failed_calls" => self.failures,
-                "held" => exchange.endpoint_list_revision(),
+            let (age, _) = engine.endpoint_list_age();
+            slog::warn!(self.log, "discovery failed"; "why" => error.to_string(), "call" => &poll.path,
+                "took_ms" => since(poll.started).as_millis(), "failed_calls" => self.failures,
+                "held" => engine.endpoint_list_revision(),
                 "list_age_ms" => age.map(|age| age.as_millis() as u64));
         }
     }
