--- a/crates/engine/src/preparation.rs
+++ b/crates/engine/src/preparation.rs
@@ -1,4 +1,4 @@
-//! What happens to a request before the router hears of it: its replica holders are asked where that is needed.
+//! Preparation of requests before routing: lookups and registrations at replica holders where they are needed.
 
 use std::rc::Rc;
 
@@ -12,11 +12,11 @@
 use crate::request_table::PreparingRequest;
 use crate::session_consistency::RequestArrival;
 
-/// Replica holders are asked for at most this part of the time that a client still waits.
+/// The wait for replica holders is limited to the client's remaining time divided by this.
 const REPLICA_WAIT_DIVISOR: Ticks = 8;
 
 impl Engine {
-    /// Asks the replica holders of a request where that is needed, else routes the request.
+    /// Routes a request, after its replica holders have been asked if that is needed.
     pub(crate) fn prepare(
         self: &Rc<Self>,
         header: &RequestHeader<'_>,
@@ -25,7 +25,8 @@
         let replicated_state = self
             .replicated_state()
             .filter(|_| self.session_consistency.is_some());
-        let Some(replicated_state) = replicated_state.filter(|_| self.asks_replicas(&preparing))
+        let Some(replicated_state) =
+            replicated_state.filter(|_| self.needs_replica_lookup(&preparing))
         else {
             return self.route(preparing, None);
         };
@@ -38,21 +39,24 @@
         }
     }
 
-    /// Whether replica holders may know what this gateway does not.
-    fn asks_replicas(&self, preparing: &PreparingRequest) -> bool {
+    /// Whether a request needs state that only replica holders may have: all writes do, and reads without a token whose
+    /// session's position is not known at this gateway.
+    fn needs_replica_lookup(&self, preparing: &PreparingRequest) -> bool {
         match preparing.consistency {
             Consistency::Write => true,
             Consistency::Session => {
                 let now = self.clock.now();
-                let reads = self.session_consistency.as_ref();
+                let sessions = self.session_consistency.as_ref();
                 preparing.token.is_none()
-                    && reads.is_some_and(|r| r.needs_position(preparing.session_number, now))
+                    && sessions.is_some_and(|sessions| {
+                        sessions.requires_current_position(preparing.session_hash, now)
+                    })
             }
             _ => false,
         }
     }
 
-    /// What replica holders keep of the idempotency key of a write; none for a write without one.
+    /// Returns the claim of a write's idempotency key for its replica holders; none for a write without a key.
     fn idempotency_claim(
         &self,
         header: &RequestHeader<'_>,
@@ -61,11 +65,11 @@
         let Idempotency::IdempotentByKey { window, scope } = preparing.open.idempotency else {
             return None;
         };
-        let reads = self.session_consistency.as_ref()?;
+        let sessions = self.session_consistency.as_ref()?;
         let key = header.idempotency_key;
         Some(IdempotencyClaim {
-            key: reads.idempotency_number(header.tenant.unwrap_or_default(), key),
-            attempt_id: reads.idempotency_number(header.id, key) ^ self.settings.routing.seed,
+            key: sessions.hash_idempotency_key(header.tenant.unwrap_or_default(), key),
+            attempt_id: sessions.hash_idempotency_key(header.id, key) ^ self.settings.routing.seed,
             replica_set: header.set,
             deduplication: match scope {
                 DeduplicationScope::Everywhere => DeduplicationDomain::Global,
@@ -77,18 +81,20 @@
         })
     }
 
+    /// Returns the longest time to wait for replica holders of a request.
     fn replica_wait(&self, preparing: &PreparingRequest) -> Ticks {
         (preparing.request.deadline - self.clock.now()) / REPLICA_WAIT_DIVISOR
     }
 
+    /// Registers a write with its replica holders; it continues with their decision.
     fn prepare_write(
         self: &Rc<Self>,
         replicated_state: &dyn ReplicatedState,
         preparing: PreparingRequest,
         claim: Option<IdempotencyClaim>,
     ) {
-        let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
-        let number = self.requests.borrow_mut().prepare(preparing);
+        let (session, wait) = (preparing.session_hash, self.replica_wait(&preparing));
+        let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_decision = Box::new(move |ticket, decision| {
             engine.on_write_decision(number, ticket, decision);
@@ -99,16 +105,17 @@
         }
     }
 
+    /// Looks up the position of a read's session at its replica holders, and then routes the read.
     fn prepare_read(
         self: &Rc<Self>,
         replicated_state: &dyn ReplicatedState,
         preparing: PreparingRequest,
     ) {
-        let (session, wait) = (preparing.session_number, self.replica_wait(&preparing));
-        let number = self.requests.borrow_mut().prepare(preparing);
+        let (session, wait) = (preparing.session_hash, self.replica_wait(&preparing));
+        let number = self.requests.borrow_mut().insert_preparing(preparing);
         let engine = self.clone();
         let on_position = Box::new(move |position| {
-            let preparing = engine.requests.borrow_mut().take_prepared(number);
+            let preparing = engine.requests.borrow_mut().take_preparing(number);
             if let Some(preparing) = preparing {
                 engine.route(preparing, position);
             }
@@ -116,9 +123,9 @@
         replicated_state.session_position(session, wait, on_position);
     }
 
-    /// Continues with a write whose replica holders were asked.
+    /// Continues with a write after the decision of its replica holders.
     fn on_write_decision(self: &Rc<Self>, number: u64, ticket: u64, decision: WriteDecision) {
-        let Some(mut preparing) = self.requests.borrow_mut().take_prepared(number) else {
+        let Some(mut preparing) = self.requests.borrow_mut().take_preparing(number) else {
             return;
         };
         preparing.open.write_ticket = Some(ticket);
@@ -129,7 +136,7 @@
             } => {
                 let request = &mut preparing.request;
                 request.first_attempt_elsewhere = first_attempt_at;
-                // A batch interval is kept in hand, as with windows that the router keeps itself.
+                // Subtracts a batch interval as a margin, as the router does for its own deduplication windows.
                 let margin = self.settings.routing.batch_interval;
                 if let Some(start_by) = start_by {
                     request.deadline = request.deadline.min(start_by - margin);
@@ -148,7 +155,7 @@
         }
     }
 
-    /// Ends a request that the router has not heard of; without an answer where its client has disconnected.
+    /// Ends a request that has not been routed. `answer` is none if its client has disconnected.
     pub(crate) fn end_unrouted(
         &self,
         mut preparing: PreparingRequest,
@@ -166,27 +173,28 @@
         }
     }
 
-    /// Gives a request to the router; `replicated`: the position that its replica holders have of its session.
-    fn route(self: &Rc<Self>, preparing: PreparingRequest, replicated: Option<Ticks>) {
+    /// Passes a request to the router. `replicated_position` is the position of its session as known to replica
+    /// holders.
+    fn route(self: &Rc<Self>, preparing: PreparingRequest, replicated_position: Option<Ticks>) {
         let PreparingRequest {
             mut open,
             mut request,
             stage,
-            session_number,
+            session_hash,
             consistency,
-            objective_left,
+            objective_remaining,
             token,
         } = preparing;
         let now = self.clock.now();
-        open.session = self.session_consistency.as_ref().and_then(|reads| {
-            reads.on_request(&RequestArrival {
+        open.session = self.session_consistency.as_ref().and_then(|sessions| {
+            sessions.on_request(&RequestArrival {
                 consistency,
-                session: session_number,
+                session_hash,
                 set: request.set,
                 now,
-                objective_left,
+                objective_remaining,
                 token: token.as_deref(),
-                replicated_position: replicated,
+                replicated_position,
             })
         });
         let requirement = open.session.and_then(|session| session.requirement);
@@ -197,6 +205,6 @@
             requirement.map_or(0, |requirement| requirement.wait_for_replica_until);
         request.request = self.requests.borrow_mut().insert(open);
         stage.set(RequestStage::Routed(request.request));
-        self.take(EngineEvent::RequestArrived(request));
+        self.dispatch(EngineEvent::RequestArrived(request));
     }
 }
