--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -1,6 +1,8 @@
-//! Reading a server's answer to a statement.
+//! Reads a server's answer to a statement.
 //!
-//! An answer goes on to the client whole or not at all.
+//! # Invariants
+//!
+//! An answer is passed to the client completely or not at all.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -17,16 +19,17 @@
 use crate::postgres::messages::{self, DecodeResult};
 use crate::server::connection::ServerConnection;
 
-/// Least time that a server has to become ready after a whole row.
+/// Least time in which a server has to report that it is ready after a complete row.
 ///
-/// Until then the request's index and the connection are held.
+/// The request's index and the connection stay in use until then.
 const MIN_READY_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// The answer to an attempt.
 pub(super) struct Answer {
     pub(super) outcome: AttemptOutcome,
-    pub(super) said: ReportedParameters,
-    /// Whether the connection may be used again.
+    /// The parameters that the server reported with the answer.
+    pub(super) reported: ReportedParameters,
+    /// Whether the connection can be used for another attempt.
     pub(super) reusable: bool,
 }
 
@@ -34,78 +37,87 @@
 struct AnswerMessage {
     tag: u8,
     body: Vec<u8>,
-    room: Option<BufferReservation>,
+    reservation: Option<BufferReservation>,
 }
 
-/// Progress of an answer that is being received.
+/// State of an answer that is being received.
 struct AnswerProgress<'a> {
-    order: &'a Attempt,
-    /// Whether the answer is given up as soon as it can't be whole in time.
-    judged: bool,
-    /// It can't meet its deadline.
-    hopeless: bool,
-    trickle: SlowResponseDetector,
-    began: Instant,
-    /// By when the next message must be there.
+    attempt: &'a Attempt,
+    /// Whether the answer is abandoned as soon as it can't be complete by its deadline.
+    rate_checked: bool,
+    /// The answer was abandoned for that reason.
+    too_slow: bool,
+    slow_detector: SlowResponseDetector,
+    started: Instant,
+    /// When the next message must be complete.
     deadline: Instant,
 }
 
 impl AnswerProgress<'_> {
+    /// Returns the ticks from the start of the answer to `at`.
     fn ticks(&self, at: Instant) -> Ticks {
-        duration_to_ticks(at.saturating_duration_since(self.began))
+        duration_to_ticks(at.saturating_duration_since(self.started))
     }
 
-    /// The row is whole: only the server's report and that it is ready are missing.
+    /// Records that the row is complete: only reported parameters and ReadyForQuery are still to come.
     fn on_row_complete(&mut self, ready_timeout: Duration) {
-        self.judged = false;
+        self.rate_checked = false;
         self.deadline = self.deadline.min(now() + ready_timeout);
     }
 
-    /// Reads more of a message of `length` bytes, 0 where that is not known.
+    /// Reads more of a message of `length` bytes, 0 if the length is unknown.
     ///
     /// # Errors
     ///
-    /// The connection has failed, or the answer can't meet its deadline.
+    /// The connection failed, or the answer can't be complete by its deadline.
     async fn read_more(
         &mut self,
         socket: &mut BufferedConnection,
         length: usize,
     ) -> io::Result<()> {
         let before = socket.input.len();
-        // Nothing has been received: the attempt's own timeout covers that.
-        if before == 0 && !self.trickle.begun() {
+        // Until the first byte, only the attempt's own timeout applies.
+        if before == 0 && !self.slow_detector.begun() {
             socket.read().await?;
-        } else if !self.judged {
+        } else if !self.rate_checked {
             let read = timeout_at(self.deadline, socket.read()).await;
             read.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))?;
         } else {
-            // What is there already needs no timer.
+            // Bytes that have been received are read without a timer.
             match socket.try_read() {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    let look = now() + ticks_to_duration(self.trickle.check_interval());
-                    timeout_at(look, socket.read()).await.unwrap_or(Ok(0))?;
+                    let next_check = now() + ticks_to_duration(self.slow_detector.check_interval());
+                    timeout_at(next_check, socket.read())
+                        .await
+                        .unwrap_or(Ok(0))?;
                 }
                 read => {
                     read?;
                 }
             }
         }
-        if self.judged {
+        if self.rate_checked {
             self.check_rate(socket.input.len(), before, length)?;
         }
         Ok(())
     }
 
-    /// Fails where a message of `length` bytes, of which `received` are there, can't be whole in time.
+    /// Checks whether a message of `length` bytes can be complete by the attempt's deadline.
+    ///
+    /// `before` and `received` are the numbers of its bytes before and after the last read.
+    ///
+    /// # Errors
+    ///
+    /// `TimedOut` if it can't.
     fn check_rate(&mut self, received: usize, before: usize, length: usize) -> io::Result<()> {
         let now = self.ticks(now());
         if received > before {
-            self.trickle.came(now, received - before);
+            self.slow_detector.came(now, received - before);
         }
         let missing = length.saturating_sub(received);
-        let deadline = self.ticks(self.order.deadline);
-        if self.trickle.cannot_finish(now, missing, deadline) {
-            self.hopeless = true;
+        let deadline = self.ticks(self.attempt.deadline);
+        if self.slow_detector.cannot_finish(now, missing, deadline) {
+            self.too_slow = true;
             return Err(ErrorKind::TimedOut.into());
         }
         Ok(())
@@ -117,20 +129,32 @@
 struct AnswerParts {
     row: Row,
     has_row: bool,
-    said: ReportedParameters,
-    /// Known once the row or an error is whole.
+    reported: ReportedParameters,
+    /// Known once the row or an error is complete.
     outcome: Option<AttemptOutcome>,
 }
 
 impl AnswerParts {
-    /// Takes a message other than the CommandComplete of a row and ReadyForQuery.
-    fn on_message(&mut self, message: AnswerMessage, order: &Attempt) -> Result<(), AttemptError> {
-        let AnswerMessage { tag, body, room } = message;
+    /// Handles any message but the CommandComplete of a row and ReadyForQuery.
+    ///
+    /// # Errors
+    ///
+    /// The message is not allowed here.
+    fn on_message(
+        &mut self,
+        message: AnswerMessage,
+        attempt: &Attempt,
+    ) -> Result<(), AttemptError> {
+        let AnswerMessage {
+            tag,
+            body,
+            reservation,
+        } = message;
         match (tag, self.outcome) {
             (b'T', None)
                 if self.row.messages.is_empty() && messages::describes_one_column(&body) =>
             {
-                order.progress.set(Progress::Answering);
+                attempt.progress.set(Progress::Answering);
                 messages::put_message(&mut self.row.messages, tag, &[&body]);
             }
             (b'D', None)
@@ -140,23 +164,25 @@
             {
                 self.has_row = true;
                 messages::put_message(&mut self.row.messages, tag, &[&body]);
-                self.row.reservations.extend(room);
+                self.row.reservations.extend(reservation);
             }
-            (b'I', None) if order.statement.is_none() => {
+            (b'I', None) if attempt.statement.is_none() => {
                 self.outcome = Some(AttemptOutcome::Answered);
             }
             (b'E', None) => self.outcome = Some(self.error_outcome(&body)),
-            (b'S', _) => self.said.record(messages::parse_parameter_status(&body)),
+            (b'S', _) => self
+                .reported
+                .record(messages::parse_parameter_status(&body)),
             (b'N', _) => {}
-            _ => return Err(order.error(Cause::ProtocolViolation)),
+            _ => return Err(attempt.error(Cause::ProtocolViolation)),
         }
         Ok(())
     }
 
-    /// The outcome that an ErrorResponse stands for.
+    /// Returns the outcome that an ErrorResponse stands for.
     fn error_outcome(&self, body: &[u8]) -> AttemptOutcome {
         match messages::sqlstate(body) {
-            // A statement whose answer has begun was executed, whatever the server says then.
+            // A statement whose answer has begun was executed, whatever error the server reports afterwards.
             _ if !self.row.messages.is_empty() => AttemptOutcome::Error,
             Some(b"25006" | b"72000") => AttemptOutcome::NotCaughtUp,
             Some(b"53300") => AttemptOutcome::Overloaded,
@@ -164,48 +190,58 @@
         }
     }
 
-    /// The answer of a connection that has failed before the server was ready.
+    /// Returns the answer of a connection that failed before the server was ready.
+    ///
+    /// # Errors
+    ///
+    /// No error of the server was complete before.
     fn on_connection_error(
         &self,
         error: &io::Error,
         progress: &AnswerProgress<'_>,
     ) -> Result<Answer, AttemptError> {
-        let order = progress.order;
+        let attempt = progress.attempt;
         match self.outcome {
-            // An error that ends the connection has been said whole all the same.
+            // The server has sent a complete error before it closed the connection.
             Some(outcome) if outcome != AttemptOutcome::Answered => Ok(Answer {
                 outcome,
-                said: self.said,
+                reported: self.reported,
                 reusable: false,
             }),
             _ if error.kind() == ErrorKind::InvalidData => {
-                Err(order.error(Cause::ProtocolViolation))
+                Err(attempt.error(Cause::ProtocolViolation))
             }
-            _ if progress.hopeless => Err(order.error(Cause::TooSlow)),
-            _ => Err(order.error(Cause::ConnectionBroken)),
+            _ if progress.too_slow => Err(attempt.error(Cause::TooSlow)),
+            _ => Err(attempt.error(Cause::ConnectionBroken)),
         }
     }
 }
 
 impl ServerConnection {
     /// Reads the answer until the server is ready for the next statement.
+    ///
+    /// A row is passed on as soon as it is complete, see [`Attempt::on_row_complete`].
+    ///
+    /// # Errors
+    ///
+    /// The answer is invalid, too slow, or cut off before it decided the outcome.
     pub(super) async fn read_answer(
         &mut self,
-        order: &Attempt,
-        peers: &ClientConnections,
+        attempt: &Attempt,
+        client_connections: &ClientConnections,
     ) -> Result<Answer, AttemptError> {
-        let statement = order.statement.as_ref();
-        let writes = statement.is_some_and(|statement| statement.write);
-        let caps = peers.limits();
+        let statement = attempt.statement.as_ref();
+        let is_write = statement.is_some_and(|statement| statement.write);
+        let limits = client_connections.limits();
         let mut parts = AnswerParts::default();
         let mut progress = AnswerProgress {
-            order,
-            // A write that is given up early could not be retried; it has its whole time.
-            judged: caps.enabled && !writes,
-            hopeless: false,
-            trickle: SlowResponseDetector::new(order.timeout),
-            began: now(),
-            deadline: order.deadline,
+            attempt,
+            // A write is never abandoned early: it could not be retried, so it gets its whole timeout.
+            rate_checked: limits.enabled && !is_write,
+            too_slow: false,
+            slow_detector: SlowResponseDetector::new(attempt.timeout),
+            started: now(),
+            deadline: attempt.deadline,
         };
         loop {
             let message = match self.next_message(&mut progress).await {
@@ -214,68 +250,75 @@
             };
             match (message.tag, parts.outcome) {
                 (b'C', None)
-                    if parts.has_row && messages::completes_one_row(&message.body, writes) =>
+                    if parts.has_row && messages::completes_one_row(&message.body, is_write) =>
                 {
                     messages::put_message(&mut parts.row.messages, message.tag, &[&message.body]);
-                    order.on_row_complete(std::mem::take(&mut parts.row));
+                    attempt.on_row_complete(std::mem::take(&mut parts.row));
                     progress.on_row_complete(
-                        ticks_to_duration(caps.ready_timeout).max(MIN_READY_TIMEOUT),
+                        ticks_to_duration(limits.ready_timeout).max(MIN_READY_TIMEOUT),
                     );
                     parts.outcome = Some(AttemptOutcome::Answered);
                 }
                 (b'Z', Some(outcome)) if message.body == b"I" => {
-                    return Ok(self.ready_answer(order, outcome, parts.said));
+                    return Ok(self.ready_answer(attempt, outcome, parts.reported));
                 }
-                _ => parts.on_message(message, order)?,
+                _ => parts.on_message(message, attempt)?,
             }
         }
     }
 
-    /// The answer of a server that is ready for the next statement.
+    /// Returns the answer once the server is ready for the next statement.
     fn ready_answer(
         &self,
-        order: &Attempt,
+        attempt: &Attempt,
         outcome: AttemptOutcome,
-        said: ReportedParameters,
+        reported: ReportedParameters,
     ) -> Answer {
-        // What stands behind it already belongs to no statement.
+        // Bytes received after ReadyForQuery belong to no statement.
         let reusable = self.socket.input.is_empty() || plant("leftovers-kept");
         let outcome = if outcome == AttemptOutcome::Answered {
-            order.on_report_complete(said)
+            attempt.on_report_complete(reported)
         } else {
             outcome
         };
         Answer {
             outcome,
-            said,
+            reported,
             reusable,
         }
     }
 
-    /// The next message of an answer.
+    /// Reads the next message of an answer, with a buffer reserved if it is long.
     async fn next_message(
         &mut self,
         progress: &mut AnswerProgress<'_>,
     ) -> io::Result<AnswerMessage> {
-        let mut room = None;
+        let mut reservation = None;
         loop {
             let length = match messages::decode_message(&mut self.socket.input) {
                 DecodeResult::Message(tag, body) => {
                     self.socket.reset_input_bound();
-                    return Ok(AnswerMessage { tag, body, room });
+                    return Ok(AnswerMessage {
+                        tag,
+                        body,
+                        reservation,
+                    });
                 }
                 DecodeResult::TooLong | DecodeResult::InvalidLength => {
                     return Err(ErrorKind::InvalidData.into());
                 }
                 DecodeResult::Incomplete(length) => length,
             };
-            let order = progress.order;
-            if let Some(peer) = &order.client {
-                let reserved =
-                    self.socket
-                        .reserve_input(length, peer, BufferKind::Response, &mut room);
+            let attempt = progress.attempt;
+            if let Some(client) = &attempt.client {
+                let reserved = self.socket.reserve_input(
+                    length,
+                    client,
+                    BufferKind::Response,
+                    &mut reservation,
+                );
                 let waited = reserved.await;
-                progress.trickle.excuse(duration_to_ticks(waited));
+                progress.slow_detector.excuse(duration_to_ticks(waited));
             }
             progress.read_more(&mut self.socket, length).await?;
         }
--- a/crates/gateway/src/server/connection.rs
+++ b/crates/gateway/src/server/connection.rs
@@ -14,36 +14,44 @@
 use crate::io::connection::BufferedConnection;
 use crate::postgres::messages::{self, DecodeResult};
 
-/// An open connection.
+/// An open connection, ready for statements.
 pub(super) struct ServerConnection {
     pub(super) socket: BufferedConnection,
     pub(super) address: SocketAddr,
+    /// When the connection was opened or its last answer was complete.
     pub(super) idle_since: Instant,
-    counters: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     _descriptor: DescriptorPermit,
 }
 
 impl Drop for ServerConnection {
     fn drop(&mut self) {
-        increment(&self.counters.servers.closed);
+        increment(&self.metrics.servers.closed);
     }
 }
 
 impl ServerConnection {
-    /// Connects, and waits until the server is ready for a first statement.
+    /// Connects and waits until the server is ready for a first statement.
+    ///
+    /// `kernel_buffer` bounds the kernel's buffer of each direction, in bytes.
+    ///
+    /// # Errors
+    ///
+    /// `QuotaExceeded` if the server accepts no more connections, `PermissionDenied` if it asks for authentication,
+    /// `InvalidData` if it violates the protocol, or the error of the connection.
     pub(super) async fn open(
         address: SocketAddr,
         kernel_buffer: Option<usize>,
-        counters: &Rc<Metrics>,
+        metrics: &Rc<Metrics>,
         descriptor: DescriptorPermit,
     ) -> io::Result<Self> {
         let socket = BufferedConnection::connect(address, kernel_buffer).await?;
-        increment(&counters.servers.opened);
+        increment(&metrics.servers.opened);
         let mut connection = ServerConnection {
             socket,
             address,
             idle_since: now(),
-            counters: counters.clone(),
+            metrics: metrics.clone(),
             _descriptor: descriptor,
         };
         connection
@@ -80,45 +88,50 @@
         }
     }
 
-    /// Writes the statement of an attempt with the time that is left to it; `written` counts the bytes that have left.
+    /// Writes the statement of an attempt, with the attempt's remaining time as its timeout; a probe is an empty query.
+    ///
+    /// `written` counts the bytes that the kernel has accepted.
     pub(super) async fn write_statement(
         &mut self,
-        order: &Attempt,
+        attempt: &Attempt,
         written: &Cell<usize>,
     ) -> io::Result<()> {
-        // A connection that came up late leaves less.
-        let left = order.deadline.saturating_duration_since(now()).as_millis();
-        let wait = left.max(1).to_string();
-        let head;
-        let parts: Vec<&[u8]> = match &order.statement {
+        // Opening the connection may have taken part of the attempt's timeout.
+        let remaining_ms = attempt
+            .deadline
+            .saturating_duration_since(now())
+            .as_millis();
+        let timeout_text = remaining_ms.max(1).to_string();
+        let header;
+        let parts: Vec<&[u8]> = match &attempt.statement {
             Some(statement) => {
-                let (text, at) = (&statement.text, &statement.timeout_range);
-                let length = 4 + text.len() - at.len() + wait.len() + 1;
-                head = [&b"Q"[..], &(length as u32).to_be_bytes()].concat();
+                let (text, range) = (&statement.text, &statement.timeout_range);
+                let length = 4 + text.len() - range.len() + timeout_text.len() + 1;
+                header = [&b"Q"[..], &(length as u32).to_be_bytes()].concat();
                 vec![
-                    &head,
-                    &text[..at.start],
-                    wait.as_bytes(),
-                    &text[at.end..],
+                    &header,
+                    &text[..range.start],
+                    timeout_text.as_bytes(),
+                    &text[range.end..],
                     b"\0",
                 ]
             }
             None => vec![b"Q\0\0\0\x05\0"],
         };
-        order.progress.set(Progress::NotWritten);
+        attempt.progress.set(Progress::NotWritten);
         self.socket.write(&parts, written).await
     }
 
-    /// Whether nothing is known to have been received, nor the connection to have ended, while it was idle.
-    pub(super) fn is_quiet(&mut self) -> bool {
+    /// Returns whether the runtime has reported neither received bytes nor an end of the connection.
+    pub(super) fn has_no_input(&mut self) -> bool {
         matches!(self.socket.try_read(), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// The same, asked of the operating system as well.
-    pub(super) fn is_surely_quiet(&mut self) -> bool {
-        // In this order: what the runtime knew is cleared with it, or an answer that comes at once would count as
-        // there before.
+    /// Like [`Self::has_no_input`], but also reads directly from the operating system.
+    pub(super) fn has_no_input_in_kernel(&mut self) -> bool {
+        // The runtime's readiness is read last, which clears it: else an answer that is received at once would count as
+        // received before the statement.
         matches!(self.socket.try_read_direct(), Err(e) if e.kind() == ErrorKind::WouldBlock)
-            && self.is_quiet()
+            && self.has_no_input()
     }
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to database servers: carries out one attempt at a time on each.
+//! Connections to database servers, each of which runs one attempt at a time.
 
 mod answer;
 mod connection;
--- a/crates/gateway/src/server/pool.rs
+++ b/crates/gateway/src/server/pool.rs
@@ -1,9 +1,9 @@
-//! The pool of server connections, and the attempts that run on them.
+//! The pool of server connections, which runs the attempts.
 //!
 //! # Invariants
 //!
-//! A statement of which a byte may have left is never sent again by the pool. The outcome of an attempt is reported as it
-//! was, with how far the attempt had come.
+//! The pool never sends a statement again of which a byte may have been sent. A failed attempt is reported with the
+//! progress that it had made, as that decides whether the statement may have been executed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -24,205 +24,218 @@
 use crate::server::answer::Answer;
 use crate::server::connection::ServerConnection;
 
-/// Connections to all servers.
+/// Pool of the connections to all servers.
 pub(crate) struct ServerPool {
-    /// Idle connections of each server, the one used last at the back.
+    /// Idle connections by the server's index, the most recently used at the back.
     idle: RefCell<BTreeMap<usize, VecDeque<ServerConnection>>>,
     descriptors: Rc<DescriptorBudget>,
-    peers: Rc<ClientConnections>,
-    counters: Rc<Metrics>,
+    client_connections: Rc<ClientConnections>,
+    metrics: Rc<Metrics>,
     connect_timeout: Duration,
-    /// How long a connection may be idle.
+    /// How long a connection may be idle before it is closed.
     idle_timeout: Duration,
 }
 
 impl ServerPool {
-    /// An empty pool; `idle_close` is when servers close idle connections.
+    /// Creates an empty pool; `idle_close` is the idle time after which servers close a connection.
     pub(crate) fn new(
         descriptors: Rc<DescriptorBudget>,
-        peers: Rc<ClientConnections>,
-        counters: Rc<Metrics>,
+        client_connections: Rc<ClientConnections>,
+        metrics: Rc<Metrics>,
         connect_timeout: Ticks,
         idle_close: Ticks,
     ) -> Rc<Self> {
-        // Closed here before the server does: a statement that crosses its closing would end as a reset, so
-        // as long before as a connection may take to come up.
+        // The gateway closes idle connections before the server does, as a statement sent while the server closes would
+        // end in a reset. The margin is the longest time that connecting takes.
         let idle_timeout = ticks_to_duration((idle_close - connect_timeout).max(idle_close / 2));
         let connect_timeout = ticks_to_duration(connect_timeout);
         let idle = RefCell::default();
-        let servers = Rc::new(ServerPool {
+        let pool = Rc::new(ServerPool {
             idle,
             descriptors,
-            peers,
-            counters,
+            client_connections,
+            metrics,
             connect_timeout,
             idle_timeout,
         });
-        let pool = Rc::downgrade(&servers);
+        let weak_pool = Rc::downgrade(&pool);
         let close = move || {
-            pool.upgrade()
-                .is_some_and(|servers| servers.close_longest_idle())
+            weak_pool
+                .upgrade()
+                .is_some_and(|pool| pool.close_longest_idle())
         };
-        servers.descriptors.set_idle_closer(Box::new(close));
-        servers
+        pool.descriptors.set_idle_closer(Box::new(close));
+        pool
     }
 
-    /// Runs an attempt to its end and reports its outcome.
-    async fn run(self: Rc<Self>, order: Attempt) {
+    /// Runs an attempt until it ends, times out or is cancelled, and reports its outcome.
+    async fn run(self: Rc<Self>, attempt: Attempt) {
         let result = tokio::select! {
             biased;
-            result = self.attempt(&order) => result,
-            () = sleep_until(order.deadline), if !plant("dispatch-without-end") => {
-                Err(order.error(Cause::TimedOut))
+            result = self.run_on_connection(&attempt) => result,
+            () = sleep_until(attempt.deadline), if !plant("dispatch-without-end") => {
+                Err(attempt.error(Cause::TimedOut))
             }
-            () = order.cancelled.notified() => Err(order.error(Cause::Cancelled)),
+            () = attempt.cancelled.notified() => Err(attempt.error(Cause::Cancelled)),
         };
         let result = match result {
             Err(AttemptError {
                 progress: Progress::Written,
                 cause: Cause::ConnectionBroken,
-            }) if plant("sent-again") => self.attempt(&order).await,
+            }) if plant("sent-again") => self.run_on_connection(&attempt).await,
             result => result,
         };
         if result.is_err() {
-            order.on_report_missing();
+            attempt.on_report_missing();
         }
         match result {
-            Ok(answer) => order.finish(answer.outcome, Some(answer.said)),
-            // The row was whole and is with the client; only the rest is missing.
-            Err(_) if order.is_delivered() => order.finish(AttemptOutcome::Answered, None),
-            Err(fault) => order.finish(fault.outcome(), None),
+            Ok(answer) => attempt.finish(answer.outcome, Some(answer.reported)),
+            // The row was complete and is delivered; only what follows it is missing.
+            Err(_) if attempt.is_delivered() => attempt.finish(AttemptOutcome::Answered, None),
+            Err(error) => attempt.finish(error.outcome(), None),
         }
     }
 
-    /// Runs the statement on one connection.
-    async fn attempt(self: &Rc<Self>, order: &Attempt) -> Result<Answer, AttemptError> {
+    /// Sends the statement on one connection and reads its answer.
+    async fn run_on_connection(self: &Rc<Self>, attempt: &Attempt) -> Result<Answer, AttemptError> {
         let mut connection = tokio::select! {
             biased;
-            written = self.write(order) => written?,
-            // A statement that is not whole never runs.
-            () = order.request_finished() => return Err(order.error(Cause::NoLongerNeeded)),
+            written = self.send_statement(attempt) => written?,
+            // The server does not execute a statement that was sent incompletely.
+            () = attempt.request_finished() => return Err(attempt.error(Cause::NoLongerNeeded)),
         };
-        order.progress.set(Progress::Written);
-        let answer = connection.read_answer(order, &self.peers).await?;
+        attempt.progress.set(Progress::Written);
+        let answer = connection
+            .read_answer(attempt, &self.client_connections)
+            .await?;
         if answer.reusable {
             connection.idle_since = now();
-            self.keep(order, connection);
+            self.keep_idle(attempt, connection);
         }
         Ok(answer)
     }
 
-    /// Keeps a connection idle for the next attempt, unless its server has been removed meanwhile.
-    fn keep(&self, order: &Attempt, connection: ServerConnection) {
-        if order.is_server_unchanged() {
+    /// Keeps a connection for later attempts, unless its server has been replaced or removed since.
+    fn keep_idle(&self, attempt: &Attempt, connection: ServerConnection) {
+        if attempt.is_server_unchanged() {
             self.idle
                 .borrow_mut()
-                .entry(order.server)
+                .entry(attempt.server)
                 .or_default()
                 .push_back(connection);
         }
     }
 
-    /// Writes the statement to an idle connection or a new one.
+    /// Sends the statement on an idle connection or a new one, and returns the connection.
     ///
-    /// Where an idle connection proves closed before a byte has left, the next one is taken.
-    async fn write(&self, order: &Attempt) -> Result<ServerConnection, AttemptError> {
+    /// If an idle connection fails before a byte was sent, another one is used.
+    async fn send_statement(&self, attempt: &Attempt) -> Result<ServerConnection, AttemptError> {
         loop {
-            let idle = self.take_idle(order.server, order.address);
+            let idle = self.take_idle(attempt.server, attempt.address);
             let reused = idle.is_some();
             let mut connection = match idle {
                 Some(connection) => connection,
-                None => self.connect(order).await?,
+                None => self.connect(attempt).await?,
             };
-            // A connection may have taken long to come up.
-            if !order.may_start() {
-                self.keep(order, connection);
-                return Err(order.error(Cause::NoLongerNeeded));
+            // Connecting may have taken long.
+            if !attempt.may_start() {
+                self.keep_idle(attempt, connection);
+                return Err(attempt.error(Cause::NoLongerNeeded));
             }
             let written = Cell::new(0);
-            match connection.write_statement(order, &written).await {
-                // What was there before was sent before the statement was received, so it is no answer to it.
-                Ok(()) if reused && !connection.is_quiet() => {
-                    order.progress.set(Progress::Written);
-                    return Err(order.error(Cause::ProtocolViolation));
+            match connection.write_statement(attempt, &written).await {
+                // Bytes received this early were sent before the server received the statement: they are no answer to it.
+                Ok(()) if reused && !connection.has_no_input() => {
+                    attempt.progress.set(Progress::Written);
+                    return Err(attempt.error(Cause::ProtocolViolation));
                 }
                 Ok(()) => return Ok(connection),
                 Err(_) if reused && written.get() == 0 => {}
-                Err(_) => return Err(order.error(Cause::ConnectionBroken)),
+                Err(_) => return Err(attempt.error(Cause::ConnectionBroken)),
             }
         }
     }
 
-    /// Takes the idle connection used last that is surely open.
+    /// Takes the most recently used idle connection that is still open, and closes those that are not.
     fn take_idle(&self, server: usize, address: SocketAddr) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&server)?;
-        while let Some(mut connection) = kept.pop_back() {
-            let fresh =
+        let connections = idle.get_mut(&server)?;
+        while let Some(mut connection) = connections.pop_back() {
+            let is_current =
                 connection.address == address && since(connection.idle_since) < self.idle_timeout;
-            if fresh && connection.is_surely_quiet() {
+            if is_current && connection.has_no_input_in_kernel() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Opens a connection.
-    async fn connect(&self, order: &Attempt) -> Result<ServerConnection, AttemptError> {
-        // Together within one connect time-out, so that a send is never long behind its decision.
-        let by = now() + self.connect_timeout;
-        let Ok(claim) = timeout_at(by, self.descriptors.acquire_for_server()).await else {
-            increment(&self.counters.servers.refused);
-            return Err(order.error(Cause::NoConnectionPossible));
+    /// Opens a connection to the attempt's server.
+    async fn connect(&self, attempt: &Attempt) -> Result<ServerConnection, AttemptError> {
+        // One timeout covers both steps, so that the statement is sent soon after the router's decision.
+        let deadline = now() + self.connect_timeout;
+        let Ok(descriptor) = timeout_at(deadline, self.descriptors.acquire_for_server()).await
+        else {
+            increment(&self.metrics.servers.refused);
+            return Err(attempt.error(Cause::NoConnectionPossible));
         };
         match timeout_at(
-            by,
-            ServerConnection::open(order.address, self.kernel_buffer(), &self.counters, claim),
+            deadline,
+            ServerConnection::open(
+                attempt.address,
+                self.kernel_buffer(),
+                &self.metrics,
+                descriptor,
+            ),
         )
         .await
         {
             Ok(Ok(connection)) => Ok(connection),
             Ok(Err(e)) if e.kind() == ErrorKind::QuotaExceeded => {
-                Err(order.error(Cause::ConnectionRejected))
+                Err(attempt.error(Cause::ConnectionRejected))
             }
-            Ok(Err(_)) => Err(order.error(Cause::ConnectionBroken)),
-            Err(_) => Err(order.error(Cause::TimedOut)),
+            Ok(Err(_)) => Err(attempt.error(Cause::ConnectionBroken)),
+            Err(_) => Err(attempt.error(Cause::TimedOut)),
         }
     }
 
-    /// Size of the kernel's buffers of a connection, each way, where they are bounded.
+    /// Returns the size in bytes of the kernel's buffer of each direction; none if it is not bounded.
     fn kernel_buffer(&self) -> Option<usize> {
-        Some(self.peers.limits())
-            .filter(|caps| caps.enabled)
-            .map(|caps| caps.kernel_buffer)
+        Some(self.client_connections.limits())
+            .filter(|limits| limits.enabled)
+            .map(|limits| limits.kernel_buffer)
     }
 
-    /// Closes the connection that has been idle for longest; returns whether there was one.
+    /// Closes the connection that has been idle longest; returns whether there was one.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.values_mut().filter(|kept| !kept.is_empty());
-        kept.min_by_key(|kept| kept[0].idle_since)
+        let non_empty = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty());
+        non_empty
+            .min_by_key(|connections| connections[0].idle_since)
             .and_then(VecDeque::pop_front)
             .is_some()
     }
 
-    /// Closes connections that have been idle for too long or have ended, forever.
+    /// Closes idle connections that have expired or ended, at regular intervals; never returns.
     pub(crate) async fn close_expired(self: Rc<Self>) {
         loop {
-            // Often enough that nothing is kept much longer than it is useful.
+            // An eighth of the timeout, so that a connection is kept little longer than it can be used.
             sleep(self.idle_timeout / 8).await;
             let mut idle = self.idle.borrow_mut();
-            for kept in idle.values_mut() {
-                kept.retain_mut(|c| since(c.idle_since) < self.idle_timeout && c.is_quiet());
+            for connections in idle.values_mut() {
+                connections
+                    .retain_mut(|c| since(c.idle_since) < self.idle_timeout && c.has_no_input());
             }
-            idle.retain(|_, kept| !kept.is_empty());
+            idle.retain(|_, connections| !connections.is_empty());
         }
     }
 }
 
 impl AttemptExecutor for ServerPool {
-    fn execute(self: Rc<Self>, order: Attempt) {
-        spawn(self.run(order));
+    fn execute(self: Rc<Self>, attempt: Attempt) {
+        spawn(self.run(attempt));
     }
 
     fn close_idle_connections(&self, server: usize) {
