--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -1,9 +1,9 @@
-//! Client connections: admits a client, reads its messages and answers each in turn.
+//! Client connections: admits a client, reads its messages and answers its requests in order.
 //!
 //! # Invariants
 //!
-//! Requests of one connection are handled in their order, and each gets exactly one answer while the client is there. A
-//! connection on which something has been read or can be read is not closed without an answer.
+//! The requests of a connection are handled in their order, and each gets exactly one answer while the client is
+//! connected. A connection that has input, read or unread, is not closed without an answer.
 
 mod pipelining;
 mod query;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use leverpoint_engine::client_connections::{
-    BufferKind as Held, BufferReservation, ClientConnection, ClientConnections,
+    BufferKind as ReservationKind, BufferReservation, ClientConnection, ClientConnections,
 };
 use leverpoint_engine::descriptor_budget::{ClientActivity, ConnectionEviction, DescriptorPermit};
 use leverpoint_engine::engine::Engine;
@@ -28,36 +28,37 @@
 use crate::postgres::cancel_keys::{CancelKey, CancelKeys};
 use crate::postgres::messages::{self, DecodeResult};
 
-/// Time for a whole startup packet, and later for any message that has begun.
+/// Time in which a startup packet, and later any message whose first byte was received, has to be complete.
 ///
-/// A client must hear of a bad startup packet within 3 s of connecting; a second of that is kept for a busy core.
+/// A client must get the error for a bad startup packet within 3 s of connecting; one second of that is left for a busy
+/// core.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Round trip of a usual network: a client admitted less than this ago may already have sent a request.
+/// Round trip time of a usual network: a client accepted less than this ago may have a request under way.
 const ROUND_TRIP: Duration = Duration::from_millis(20);
 
-/// What all client connections share.
+/// State that all client connections share.
 pub(crate) struct ClientContext {
-    /// Takes the requests.
+    /// Routes and answers the requests.
     pub engine: Rc<Engine>,
     /// Throughput and buffer reservations of the client connections.
     pub client_connections: Rc<ClientConnections>,
-    /// Asks connections to close.
+    /// Selects connections to close when descriptors run short, and all of them at shutdown.
     pub eviction: Rc<ConnectionEviction>,
-    /// The keys by which clients cancel requests.
+    /// The cancel keys of all connections.
     pub cancel_keys: Rc<CancelKeys>,
-    /// Bytes that all connections together may still read ahead.
+    /// Further bytes that all connections together may read ahead.
     pub read_ahead_budget: Rc<Cell<usize>>,
 }
 
-/// Whether a connection is within the number that may be open.
+/// Whether a connection is within the number that may be open, and how it is rejected otherwise.
 struct Admission {
-    /// Else its first request is rejected, and the connection ends.
+    /// If not, the connection's requests are rejected, and it is closed.
     has_capacity: bool,
-    /// The client has been told so, and nothing more of it is here.
+    /// The client's last request received was rejected; the connection is to be closed.
     rejected: bool,
-    /// How long the first request of a client without capacity is waited for.
-    linger: Duration,
+    /// How long a request is awaited from a client without capacity.
+    request_timeout: Duration,
 }
 
 /// One client connection.
@@ -65,13 +66,14 @@
     connection: BufferedConnection,
     context: Rc<ClientContext>,
     engine: Rc<Engine>,
-    /// The key by which the client may cancel its open request, once it is admitted.
+    /// The key by which the client can cancel its open request; none before it is admitted.
     cancel_key: Option<CancelKey>,
     read_ahead: ReadAhead,
-    began: Instant,
-    /// The longest client timeout.
+    accepted_at: Instant,
+    /// The longest timeout that a request may have.
     longest_timeout: Duration,
-    peer: Rc<ClientConnection>,
+    /// The connection as backpressure sees it.
+    registration: Rc<ClientConnection>,
     admission: Admission,
     _descriptor: DescriptorPermit,
 }
@@ -84,11 +86,11 @@
 
 /// The message that is being read.
 struct MessageInProgress {
-    /// What the client has shown of itself so far.
-    shown: ClientActivity,
+    /// What the client has done so far.
+    activity: ClientActivity,
     /// Buffer reserved for a long message.
-    room: Option<BufferReservation>,
-    /// By when the message must be whole, or has kept its rate.
+    reservation: Option<BufferReservation>,
+    /// When the message must be complete, or received at the required rate; none before its first byte.
     deadline: Option<Instant>,
 }
 
@@ -102,22 +104,24 @@
     NoCapacity,
     /// The connection is evicted as too slow.
     Evicted,
-    /// The connection is to close in order.
+    /// The connection is to be closed after what was received has been answered.
     Close,
-    /// The client has sent no request yet and makes room for others, at once.
-    MakeRoom,
+    /// The connection is to be closed at once to free its descriptor; the client has sent no request yet.
+    FreeDescriptor,
 }
 
-/// What follows a message.
+/// What to do after a message.
 #[derive(PartialEq)]
-enum Next {
-    /// The next message is read.
+enum NextStep {
+    /// Read the next message.
     Continue,
-    /// The connection ends.
+    /// Drop the connection, which has been closed where necessary.
     Close,
 }
 
-/// Serves one client connection to its end; the connection was accepted after `connected`.
+/// Serves one client connection to its end.
+///
+/// The client connected after `connected`. Without `has_capacity` its requests are rejected.
 pub(crate) async fn serve(
     stream: Stream,
     connected: Instant,
@@ -129,56 +133,62 @@
     increment(&engine.metrics.clients.opened);
     let longest_timeout = engine.longest_timeout();
     let connection = BufferedConnection::for_client(stream, connected);
-    let peer = context.client_connections.register(connection.stream());
+    let registration = context.client_connections.register(connection.stream());
     let admission = Admission {
         has_capacity,
         rejected: false,
-        linger: engine.connect_timeout(),
+        request_timeout: engine.connect_timeout(),
     };
     let mut client = Client {
         connection,
         engine,
         cancel_key: None,
         read_ahead: ReadAhead::new(context.read_ahead_budget.clone()),
-        began: now(),
+        accepted_at: now(),
         longest_timeout,
-        peer,
+        registration,
         admission,
         context,
         _descriptor: descriptor,
     };
-    // Whatever error ends the connection, it concerns nobody else: an open request is ended through its ticket.
+    // An error concerns this connection alone; dropping its `PendingRequest` tells the engine of the disconnect.
     let _ = client.serve().await;
-    if client.peer.is_evicted() {
-        // What stands in the kernel for it goes as well.
+    if client.registration.is_evicted() {
+        // A reset frees the kernel's buffers of the connection as well.
         client.connection.reset_on_drop();
     }
 }
 
 impl Client {
     async fn serve(&mut self) -> io::Result<()> {
-        // What had been sent before the connection was accepted is known from here on to have been received.
+        // Records the receive time of what was sent before the connection was accepted.
         self.read_available()?;
-        if self.admit_in_time().await? == Next::Close {
+        if self.admit_within_timeout().await? == NextStep::Close {
             return Ok(());
         }
         let mut progress = MessageInProgress {
-            shown: ClientActivity::StartupReceived,
-            room: None,
+            activity: ClientActivity::StartupReceived,
+            reservation: None,
             deadline: None,
         };
-        let mut skipping = false;
+        let mut skip_until_sync = false;
         while let Some((tag, body)) = self.next_message(&mut progress).await? {
-            let room = progress.room.take();
-            let next = self.handle_message(tag, body, room, &mut skipping).await?;
-            if next == Next::Close {
+            let reservation = progress.reservation.take();
+            let next_step = self
+                .handle_message(tag, body, reservation, &mut skip_until_sync)
+                .await?;
+            if next_step == NextStep::Close {
                 break;
             }
         }
         Ok(())
     }
 
-    /// Reads the next message; none where the connection ends instead.
+    /// Reads the next message; none if the connection ends instead.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed or was closed by the client.
     async fn next_message(
         &mut self,
         progress: &mut MessageInProgress,
@@ -203,52 +213,55 @@
             };
             let idle_since = self.on_message_incomplete(progress);
             let outcome = self.read_more(length, progress, idle_since).await?;
-            if self.on_read_outcome(outcome, progress).await? == Next::Close {
+            if self.on_read_outcome(outcome, progress).await? == NextStep::Close {
                 return Ok(None);
             }
         }
     }
 
-    /// Notes that the client is idle or has begun a message; returns since when it counts as idle.
+    /// Records that the client is idle or has begun a message; returns since when it counts as idle.
     fn on_message_incomplete(&mut self, progress: &mut MessageInProgress) -> Instant {
         let at = now();
         if self.connection.input.is_empty() {
             self.read_ahead.release();
         } else if progress.deadline.is_none() {
-            self.peer.on_bytes_received(self.connection.input.len());
+            self.registration
+                .on_bytes_received(self.connection.input.len());
             progress.deadline = Some(at + MESSAGE_TIMEOUT);
         }
-        if progress.shown == ClientActivity::StartupReceived {
-            self.began
+        if progress.activity == ClientActivity::StartupReceived {
+            self.accepted_at
         } else {
             at
         }
     }
 
+    /// Records that the client has sent a complete message.
     fn on_message_complete(&mut self, progress: &mut MessageInProgress) {
-        self.peer.on_message();
-        progress.shown = if self.peer.is_proven() {
+        self.registration.on_message();
+        progress.activity = if self.registration.is_proven() {
             ClientActivity::Proven
         } else {
             ClientActivity::MessageReceived
         };
         if progress.deadline.take().is_some() {
-            self.peer.on_message_complete();
+            self.registration.on_message_complete();
         }
         self.connection.reset_input_bound();
     }
 
+    /// Handles the outcome of [`Self::read_more`]: closes the connection unless more is to be read.
     async fn on_read_outcome(
         &mut self,
         outcome: ReadOutcome,
         progress: &mut MessageInProgress,
-    ) -> io::Result<Next> {
+    ) -> io::Result<NextStep> {
         match outcome {
-            ReadOutcome::Progress => return Ok(Next::Continue),
-            ReadOutcome::TimedOut => match self.peer.on_partial_message() {
+            ReadOutcome::Progress => return Ok(NextStep::Continue),
+            ReadOutcome::TimedOut => match self.registration.on_partial_message() {
                 extended @ Some(_) => {
                     progress.deadline = extended;
-                    return Ok(Next::Continue);
+                    return Ok(NextStep::Continue);
                 }
                 None => {
                     self.close_with_error("08P01", "no whole message in time")
@@ -263,87 +276,94 @@
                 self.close_with_error("08P01", "too slow, and room is short")
                     .await?;
             }
-            // Received just in time; a wait for its end is not one of the client's.
-            ReadOutcome::Close if self.read_available()? => return Ok(Next::Continue),
-            ReadOutcome::Close => self.close_unread().await?,
-            // A request may be here or on its way: it is rejected then, rather than cut off.
-            ReadOutcome::MakeRoom => {
-                if !self.read_available()? && since(self.began) >= ROUND_TRIP {
-                    return Ok(Next::Close);
+            // Bytes were received just in time: their message is still read and answered, and the wait for its end does
+            // not count as idle time of the client.
+            ReadOutcome::Close if self.read_available()? => return Ok(NextStep::Continue),
+            ReadOutcome::Close => self.close_without_reading().await?,
+            // If a request was received or may be under way, it is rejected rather than cut off.
+            ReadOutcome::FreeDescriptor => {
+                if !self.read_available()? && since(self.accepted_at) >= ROUND_TRIP {
+                    return Ok(NextStep::Close);
                 }
                 self.admission.has_capacity = false;
-                self.admission.linger = ROUND_TRIP;
-                return Ok(Next::Continue);
+                self.admission.request_timeout = ROUND_TRIP;
+                return Ok(NextStep::Continue);
             }
         }
-        Ok(Next::Close)
+        Ok(NextStep::Close)
     }
 
-    /// Waits for more of a message of `length` bytes.
+    /// Waits for more of a message of `length` bytes, 0 if the length is unknown.
+    ///
+    /// `idle_since` is when the client became idle, which orders evictions.
     async fn read_more(
         &mut self,
         length: usize,
         progress: &mut MessageInProgress,
         idle_since: Instant,
     ) -> io::Result<ReadOutcome> {
-        let (shown, deadline) = (progress.shown, progress.deadline);
+        let (activity, deadline) = (progress.activity, progress.deadline);
         let eviction = self.context.eviction.clone();
         let Admission {
             has_capacity,
-            linger,
+            request_timeout,
             ..
         } = self.admission;
         let idle = self.connection.input.is_empty();
         if idle
             && matches!(
-                shown,
+                activity,
                 ClientActivity::MessageReceived | ClientActivity::Proven
             )
         {
             eviction.on_idle(self.engine.open_requests());
         }
-        let may_leave = has_capacity
-            && (idle || (shown == ClientActivity::StartupReceived && !eviction.is_evicting_all()));
-        let peer = self.peer.clone();
+        let may_be_evicted = has_capacity
+            && (idle
+                || (activity == ClientActivity::StartupReceived && !eviction.is_evicting_all()));
+        let registration = self.registration.clone();
         tokio::select! {
             biased;
-            outcome = self.read_bytes(length, &mut progress.room) => outcome,
-            () = peer.evicted() => Ok(ReadOutcome::Evicted),
-            () = eviction.requested(shown, idle_since), if may_leave => Ok(match shown {
-                // One that has begun a request is heard, unless it is one of too many.
+            outcome = self.read_bytes(length, &mut progress.reservation) => outcome,
+            () = registration.evicted() => Ok(ReadOutcome::Evicted),
+            () = eviction.requested(activity, idle_since), if may_be_evicted => Ok(match activity {
+                // At shutdown a message that has begun is still read; if there are too many connections, it is rejected.
                 _ if eviction.is_evicting_all() && !idle => ReadOutcome::Progress,
-                ClientActivity::StartupReceived if !eviction.is_evicting_all() => ReadOutcome::MakeRoom,
+                ClientActivity::StartupReceived if !eviction.is_evicting_all() => ReadOutcome::FreeDescriptor,
                 _ => ReadOutcome::Close,
             }),
-            () = sleep(linger), if !has_capacity => Ok(ReadOutcome::Close),
+            () = sleep(request_timeout), if !has_capacity => Ok(ReadOutcome::Close),
             () = sleep_until(deadline.unwrap_or_else(now)), if deadline.is_some() => Ok(ReadOutcome::TimedOut),
         }
     }
 
-    /// Reads once, with a buffer reserved where the message is long.
+    /// Reads once, after reserving a buffer for a long message.
     async fn read_bytes(
         &mut self,
         length: usize,
-        room: &mut Option<BufferReservation>,
+        reservation: &mut Option<BufferReservation>,
     ) -> io::Result<ReadOutcome> {
         let before = self.connection.input.len();
-        let reserved = self
-            .connection
-            .reserve_input(length, &self.peer, Held::Request, room);
+        let reserved = self.connection.reserve_input(
+            length,
+            &self.registration,
+            ReservationKind::Request,
+            reservation,
+        );
         match timeout(MESSAGE_TIMEOUT, reserved).await {
             Ok(Duration::ZERO) => {}
-            // Nothing was read meanwhile, and not by the client's doing.
-            Ok(waited) => self.peer.exclude_wait(waited),
+            // The gateway did not read in that time, so it does not count for the client's rate.
+            Ok(waited) => self.registration.exclude_wait(waited),
             Err(_) => return Ok(ReadOutcome::NoCapacity),
         }
         let n = self.connection.read().await?;
         if before > 0 {
-            self.peer.on_bytes_received(n);
+            self.registration.on_bytes_received(n);
         }
         Ok(ReadOutcome::Progress)
     }
 
-    /// Reads what the operating system has received for this connection; returns whether there was anything.
+    /// Reads once what the operating system has received for this connection; returns whether there was anything.
     fn read_available(&mut self) -> io::Result<bool> {
         loop {
             match self.connection.try_read_direct() {
@@ -354,41 +374,43 @@
         }
     }
 
-    /// Handles a message; `skipping` is set from an error of the extended protocol to the next Sync.
+    /// Handles a message.
+    ///
+    /// `skip_until_sync` is set after an error of the extended protocol, whose messages are then ignored until a Sync.
     async fn handle_message(
         &mut self,
         tag: u8,
         body: Vec<u8>,
-        room: Option<BufferReservation>,
-        skipping: &mut bool,
-    ) -> io::Result<Next> {
+        reservation: Option<BufferReservation>,
+        skip_until_sync: &mut bool,
+    ) -> io::Result<NextStep> {
         match tag {
-            b'X' => return Ok(Next::Close),
+            b'X' => return Ok(NextStep::Close),
             b'S' => {
-                *skipping = false;
-                self.conclude(Vec::new(), None).await?;
+                *skip_until_sync = false;
+                self.write_with_ready(Vec::new(), None).await?;
             }
-            _ if *skipping => {}
+            _ if *skip_until_sync => {}
             b'Q' => {
                 let received = self.connection.received_at();
-                self.handle_query(body, received, room).await?;
+                self.handle_query(body, received, reservation).await?;
                 if self.admission.rejected {
-                    self.close_unread().await?;
-                    return Ok(Next::Close);
+                    self.close_without_reading().await?;
+                    return Ok(NextStep::Close);
                 }
             }
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' => {
-                *skipping = tag != b'F';
-                self.refuse("0A000", "only simple queries are taken", tag == b'F')
+                *skip_until_sync = tag != b'F';
+                self.reject("0A000", "only simple queries are taken", tag == b'F')
                     .await?;
             }
             b'd' | b'c' | b'f' => {}
             _ => {
                 self.close_with_error("08P01", "a message of unknown type")
                     .await?;
-                return Ok(Next::Close);
+                return Ok(NextStep::Close);
             }
         }
-        Ok(Next::Continue)
+        Ok(NextStep::Continue)
     }
 }
--- a/crates/gateway/src/client/pipelining.rs
+++ b/crates/gateway/src/client/pipelining.rs
@@ -1,6 +1,6 @@
-//! Reading ahead while a request is open.
+//! Reads pipelined requests ahead while a request is open.
 //!
-//! The end of a client that has sent requests ahead is seen only once all that it has sent has been read.
+//! The disconnect of a client that has sent further requests is seen only once all that it has sent has been read.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -11,40 +11,41 @@
 use crate::client::Client;
 use crate::postgres::messages;
 
-/// Bytes by which the read-ahead of a connection grows.
+/// Bytes by which the read-ahead of a connection grows at a time.
 const READ_AHEAD_STEP: usize = 16 << 10;
 /// Most bytes that one connection reads ahead.
 const MAX_READ_AHEAD: usize = messages::MAX_MESSAGE;
 
-/// Reservation of read-ahead bytes, taken from what all connections share; released when dropped.
+/// Reservation of read-ahead bytes of one connection; released when dropped.
 pub(super) struct ReadAhead {
+    /// Bytes that are left to all connections together.
     available: Rc<Cell<usize>>,
-    bytes: usize,
+    reserved: usize,
 }
 
 impl ReadAhead {
-    /// An empty reservation.
+    /// Creates an empty reservation that takes its bytes from `available`.
     pub(super) fn new(available: Rc<Cell<usize>>) -> Self {
         ReadAhead {
             available,
-            bytes: 0,
+            reserved: 0,
         }
     }
 
-    /// Reserves one more step, unless the connection or all of them together have reached their bound.
+    /// Reserves one more step; returns false if the connection, or all of them together, have reached the bound.
     fn grow(&mut self) -> bool {
         let available = self.available.get();
-        let grows = available >= READ_AHEAD_STEP && self.bytes < MAX_READ_AHEAD;
-        if grows {
+        let has_space = available >= READ_AHEAD_STEP && self.reserved < MAX_READ_AHEAD;
+        if has_space {
             self.available.set(available - READ_AHEAD_STEP);
-            self.bytes += READ_AHEAD_STEP;
+            self.reserved += READ_AHEAD_STEP;
         }
-        grows
+        has_space
     }
 
-    /// Gives the whole reservation back.
+    /// Releases the whole reservation.
     pub(super) fn release(&mut self) {
-        let bytes = std::mem::take(&mut self.bytes);
+        let bytes = std::mem::take(&mut self.reserved);
         self.available.set(self.available.get() + bytes);
     }
 }
@@ -56,11 +57,11 @@
 }
 
 impl Client {
-    /// Waits for `future` and reads meanwhile what the client sends ahead; the client's end ends the wait.
+    /// Waits for `future` and meanwhile reads what the client sends.
     ///
     /// # Errors
     ///
-    /// The connection has ended.
+    /// The connection has ended before the future.
     pub(super) async fn read_ahead_until<F: Future>(
         &mut self,
         mut future: Pin<&mut F>,
--- a/crates/gateway/src/client/query.rs
+++ b/crates/gateway/src/client/query.rs
@@ -1,4 +1,4 @@
-//! Simple queries: requests to the databases, and what the gateway answers by itself.
+//! Simple queries: requests to the databases, and queries that the gateway answers itself.
 
 use std::future::pending;
 use std::io;
@@ -15,88 +15,99 @@
 use crate::postgres::messages;
 use crate::postgres::query_comment::{self, Query};
 
-/// Appends that a request is shed, with the milliseconds after which to retry unless they are 0.
-fn put_shed(out: &mut Vec<u8>, retry_after_ms: u64) {
+/// Appends the error of a shed request; its detail is the milliseconds after which to retry, unless they are 0.
+fn put_shed_error(out: &mut Vec<u8>, retry_after_ms: u64) {
     let detail = (retry_after_ms > 0).then(|| retry_after_ms.to_string());
     messages::put_error_response(out, false, "53300", "throttled", detail.as_deref());
 }
 
 impl Client {
     /// Handles a Query message whose last byte was received at `received`.
+    ///
+    /// The buffer reservation for `body` is held until the query is answered.
     pub(super) async fn handle_query(
         &mut self,
         mut body: Vec<u8>,
         received: Instant,
-        _room: Option<BufferReservation>,
+        _reservation: Option<BufferReservation>,
     ) -> io::Result<()> {
         if body.pop() != Some(0) || body.contains(&0) {
             return self
-                .refuse("08P01", "a query must end with its only zero byte", true)
+                .reject("08P01", "a query must end with its only zero byte", true)
                 .await;
         }
         let Ok(text) = std::str::from_utf8(&body) else {
-            return self.refuse("22021", "a query must be UTF-8", true).await;
+            return self.reject("22021", "a query must be UTF-8", true).await;
         };
         let request = match query_comment::parse_query(text) {
             Ok(Query::Empty) => return self.answer_readiness_check().await,
             Ok(Query::Session(tag)) => {
                 let mut out = Vec::new();
                 messages::put_message(&mut out, b'C', &[tag.as_bytes(), b"\0"]);
-                return self.conclude(out, None).await;
+                return self.write_with_ready(out, None).await;
             }
             Ok(Query::Request(request)) => request,
-            Err((code, why)) => return self.refuse(code, &why, true).await,
+            Err((code, reason)) => return self.reject(code, &reason, true).await,
         };
         if !self.admission.has_capacity {
             return self.reject_without_capacity().await;
         }
         assert!(!(plant("panic") && text.contains("c=history")), "planted");
-        let ticket = match self.engine.on_request(&request, text, received, &self.peer) {
-            Ok(ticket) => ticket,
-            Err(Rejection::Invalid(code, why)) => return self.refuse(code, &why, true).await,
-            Err(Rejection::Shed(ms, until)) => {
+        let accepted = match self
+            .engine
+            .on_request(&request, text, received, &self.registration)
+        {
+            Ok(accepted) => accepted,
+            Err(Rejection::Invalid(code, reason)) => return self.reject(code, &reason, true).await,
+            Err(Rejection::Shed(retry_after_ms, deadline)) => {
                 let mut out = Vec::new();
-                put_shed(&mut out, ms);
-                return self.conclude(out, Some(Delivery::new(until))).await;
+                put_shed_error(&mut out, retry_after_ms);
+                return self
+                    .write_with_ready(out, Some(Delivery::new(deadline)))
+                    .await;
             }
         };
         drop(body);
-        self.answer_request(ticket).await
+        self.answer_request(accepted).await
     }
 
-    /// Answers an empty query once there is an endpoint list: a load balancer checks the gateway's readiness by it.
+    /// Answers an empty query once an endpoint list has been received.
+    ///
+    /// Load balancers check the gateway's readiness with such a query.
     async fn answer_readiness_check(&mut self) -> io::Result<()> {
         let engine = self.engine.clone();
         let ready = timeout(self.longest_timeout, engine.endpoint_list_received());
         if self.read_ahead_until(pin!(ready)).await?.is_err() {
-            return self.refuse("57P03", "no list of servers yet", true).await;
+            return self.reject("57P03", "no list of servers yet", true).await;
         }
         let mut out = Vec::new();
         messages::put_message(&mut out, b'I', &[]);
-        self.conclude(out, None).await
+        self.write_with_ready(out, None).await
     }
 
     /// Rejects a request of a connection beyond the number that may be open.
+    ///
+    /// The error is fatal if no further input has been received.
     async fn reject_without_capacity(&mut self) -> io::Result<()> {
         increment(&self.engine.metrics.clients.refused);
-        // What stands behind it is here as well, and gets an answer of its own.
-        let last = self.connection.input.is_empty() && !self.read_available()?;
-        self.admission.rejected = last;
+        // Further requests that were received get answers of their own.
+        let is_last = self.connection.input.is_empty() && !self.read_available()?;
+        self.admission.rejected = is_last;
         let mut out = Vec::new();
-        messages::put_error_response(&mut out, last, "53300", "too many connections", None);
-        if last {
+        messages::put_error_response(&mut out, is_last, "53300", "too many connections", None);
+        if is_last {
             self.write(&out).await
         } else {
-            self.conclude(out, None).await
+            self.write_with_ready(out, None).await
         }
     }
 
     /// Waits for the outcome of a request and answers it.
-    async fn answer_request(&mut self, ticket: PendingRequest) -> io::Result<()> {
-        let (class, mut delivery) = (ticket.class, Delivery::new(ticket.answer_deadline));
-        let key = self.cancel_key.take();
-        let outcome = self.wait_for_outcome(ticket, key.as_ref()).await?;
-        self.cancel_key = key;
+    async fn answer_request(&mut self, accepted: PendingRequest) -> io::Result<()> {
+        let (class, mut delivery) = (accepted.class, Delivery::new(accepted.answer_deadline));
+        let cancel_key = self.cancel_key.take();
+        let outcome = self.wait_for_outcome(accepted, cancel_key.as_ref()).await?;
+        self.cancel_key = cancel_key;
         let mut out = Vec::new();
         match outcome {
             Some(FinalAnswer::Answered(row)) => {
@@ -105,9 +116,9 @@
                 }
                 out.extend(row.messages);
                 delivery.class = Some(class);
-                delivery.rooms = row.reservations;
+                delivery.reservations = row.reservations;
             }
-            Some(FinalAnswer::Shed(ms)) => put_shed(&mut out, ms),
+            Some(FinalAnswer::Shed(retry_after_ms)) => put_shed_error(&mut out, retry_after_ms),
             Some(FinalAnswer::Failed) => {
                 messages::put_error_response(
                     &mut out,
@@ -125,29 +136,33 @@
                 None,
             ),
         }
-        self.conclude(out, Some(delivery)).await
+        self.write_with_ready(out, Some(delivery)).await
     }
 
-    /// Waits for the outcome of a request; none where the client has cancelled it.
+    /// Waits for the outcome of a request; none if the client cancels it.
+    ///
+    /// # Errors
+    ///
+    /// The client has disconnected.
     async fn wait_for_outcome(
         &mut self,
-        ticket: PendingRequest,
-        key: Option<&CancelKey>,
+        accepted: PendingRequest,
+        cancel_key: Option<&CancelKey>,
     ) -> io::Result<Option<FinalAnswer>> {
-        let until = ticket.answer_deadline;
-        let open = key.map(CancelKey::open_request);
+        let deadline = accepted.answer_deadline;
+        let open_request = cancel_key.map(CancelKey::open_request);
         let cancelled = async {
-            match &open {
-                Some(open) => open.cancelled().await,
+            match &open_request {
+                Some(open_request) => open_request.cancelled().await,
                 None => pending().await,
             }
         };
         let outcome = async {
             tokio::select! {
                 biased;
-                outcome = ticket => Some(outcome),
+                outcome = accepted => Some(outcome),
                 () = cancelled => None,
-                () = sleep_until(until), if !plant("wait-without-end") => Some(FinalAnswer::Failed),
+                () = sleep_until(deadline), if !plant("wait-without-end") => Some(FinalAnswer::Failed),
             }
         };
         self.read_ahead_until(pin!(outcome)).await
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -1,4 +1,4 @@
-//! Writing answers to a client, and closing its connection.
+//! Writes answers to a client and closes its connection.
 
 use std::io::{self, ErrorKind};
 use std::pin::pin;
@@ -13,80 +13,87 @@
 use crate::client::{Client, MESSAGE_TIMEOUT};
 use crate::postgres::messages;
 
-/// How often a closing connection is polled for answers that the client has not taken yet.
-const UNTAKEN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a closing connection is checked for bytes that the client has not acknowledged.
+const ACKNOWLEDGEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is known of an answer that is being delivered.
+/// An answer that is being delivered, as backpressure sees it.
 pub(super) struct Delivery {
-    /// The client's deadline.
-    until: Instant,
-    /// The request class, where the answer is a row.
+    /// When the answer is due at the client.
+    deadline: Instant,
+    /// Index of the request class; none if the answer is not a row.
     pub(super) class: Option<usize>,
-    /// Buffer reservations, held until the client has taken the answer.
-    pub(super) rooms: Vec<BufferReservation>,
+    /// Buffer reservations, held until the client has acknowledged the answer.
+    pub(super) reservations: Vec<BufferReservation>,
 }
 
 impl Delivery {
-    /// The delivery of an answer that is no row.
-    pub(super) fn new(until: Instant) -> Self {
+    /// Creates the delivery of an answer that is not a row.
+    pub(super) fn new(deadline: Instant) -> Self {
         Delivery {
-            until,
+            deadline,
             class: None,
-            rooms: Vec::new(),
+            reservations: Vec::new(),
         }
     }
 }
 
-/// Waits for at most `limit`; a timeout is an error like the others.
-async fn within<T>(limit: Duration, future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+/// Waits for an I/O operation for at most `limit`; a timeout is an error of kind `TimedOut`.
+async fn io_timeout<T>(
+    limit: Duration,
+    future: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     timeout(limit, future)
         .await
         .unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
 }
 
 impl Client {
-    /// Writes what belongs to no request.
+    /// Writes bytes that answer no request, with [`MESSAGE_TIMEOUT`] as their deadline.
     pub(super) async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let until = now() + MESSAGE_TIMEOUT;
-        self.deliver(bytes, Delivery::new(until)).await
+        let deadline = now() + MESSAGE_TIMEOUT;
+        self.deliver(bytes, Delivery::new(deadline)).await
     }
 
-    /// Writes an answer; it ends early where the connection is evicted.
+    /// Writes an answer.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed, was evicted, or did not take the answer in time.
     async fn deliver(&mut self, bytes: &[u8], delivery: Delivery) -> io::Result<()> {
-        let peer = &self.peer;
-        peer.on_answer_started(delivery.class, bytes.len(), delivery.until);
+        let registration = &self.registration;
+        registration.on_answer_started(delivery.class, bytes.len(), delivery.deadline);
         let parts = [bytes];
-        let mut writing = pin!(self.connection.write(&parts, &peer.bytes_written));
-        // Most answers are written at once, and nothing of what follows is needed.
-        let lingers = match poll_once(writing.as_mut()).await {
+        let mut writing = pin!(self.connection.write(&parts, &registration.bytes_written));
+        // Most answers are written at once and need no timeout.
+        let is_pending = match poll_once(writing.as_mut()).await {
             Some(written) => written.map(|()| false)?,
             None => true,
         };
-        if lingers {
-            peer.on_write_pending();
-            let caps = peer.limits();
-            // A client that keeps the least rate is done by then.
-            let longest = ticks_to_duration(
-                (messages::MAX_MESSAGE as u64 * 10_000 / caps.min_rate.max(1)) as Ticks,
+        if is_pending {
+            registration.on_write_pending();
+            let limits = registration.limits();
+            // The time that a client at the lowest allowed rate needs for the longest message.
+            let longest_write = ticks_to_duration(
+                (messages::MAX_MESSAGE as u64 * 10_000 / limits.min_rate.max(1)) as Ticks,
             );
-            let by = self.longest_timeout
-                + if caps.enabled {
-                    longest
+            let write_timeout = self.longest_timeout
+                + if limits.enabled {
+                    longest_write
                 } else {
                     Duration::ZERO
                 };
             tokio::select! {
                 biased;
-                written = within(by, writing) => written?,
-                () = peer.evicted() => return Err(ErrorKind::TimedOut.into()),
+                written = io_timeout(write_timeout, writing) => written?,
+                () = registration.evicted() => return Err(ErrorKind::TimedOut.into()),
             }
         }
-        peer.on_answer_written(delivery.rooms);
+        registration.on_answer_written(delivery.reservations);
         Ok(())
     }
 
-    /// Writes an answer and that the next message may come.
-    pub(super) async fn conclude(
+    /// Writes an answer followed by ReadyForQuery; without a delivery it answers no request.
+    pub(super) async fn write_with_ready(
         &mut self,
         mut out: Vec<u8>,
         delivery: Option<Delivery>,
@@ -102,53 +109,59 @@
         Ok(())
     }
 
-    /// Writes an error after which the connection goes on.
-    pub(super) async fn refuse(&mut self, code: &str, why: &str, ready: bool) -> io::Result<()> {
+    /// Answers a message with an error, followed by ReadyForQuery if `ready`; the connection stays open.
+    pub(super) async fn reject(
+        &mut self,
+        code: &str,
+        message: &str,
+        ready: bool,
+    ) -> io::Result<()> {
         increment(&self.engine.metrics.rejected_messages);
         let mut out = Vec::new();
-        messages::put_error_response(&mut out, false, code, why, None);
+        messages::put_error_response(&mut out, false, code, message, None);
         if ready {
-            self.conclude(out, None).await
+            self.write_with_ready(out, None).await
         } else {
             self.write(&out).await
         }
     }
 
     /// Writes a fatal error and closes the connection.
-    pub(super) async fn close_with_error(&mut self, code: &str, why: &str) -> io::Result<()> {
+    pub(super) async fn close_with_error(&mut self, code: &str, message: &str) -> io::Result<()> {
         increment(&self.engine.metrics.rejected_messages);
         let mut out = Vec::new();
-        messages::put_error_response(&mut out, true, code, why, None);
+        messages::put_error_response(&mut out, true, code, message, None);
         self.write(&out).await?;
-        let closed = within(
+        let closed = io_timeout(
             self.engine.connect_timeout(),
-            // What the client still sends is read up to a bound, so that no reset overtakes the error.
+            // What the client still sends is read up to a bound: unread input would cause a reset, which could overtake
+            // the error.
             self.connection.shutdown_and_drain(messages::MAX_MESSAGE),
         )
         .await;
-        self.wait_until_taken().await;
+        self.wait_until_acknowledged().await;
         closed
     }
 
-    /// Closes the connection between requests; one that is sent from here on is left unread, as nothing would answer it.
-    pub(super) async fn close_unread(&mut self) -> io::Result<()> {
+    /// Closes the connection between requests; a request sent from now on is left unread, as it would not be answered.
+    pub(super) async fn close_without_reading(&mut self) -> io::Result<()> {
         let timeout = self.engine.connect_timeout();
-        let closed = within(timeout, self.connection.shutdown_without_reading()).await;
-        self.wait_until_taken().await;
+        let closed = io_timeout(timeout, self.connection.shutdown_without_reading()).await;
+        self.wait_until_acknowledged().await;
         closed
     }
 
-    /// Waits until the client has taken what was written, or is evicted.
+    /// Waits until the client has acknowledged what was written, has disconnected or is evicted.
     ///
-    /// Closing a connection with unread input makes the kernel drop output that the client has not taken.
-    async fn wait_until_taken(&self) {
-        let by = now() + self.longest_timeout;
-        while self.peer.unacknowledged_bytes() > 0
-            && !self.peer.is_disconnected()
-            && !self.peer.is_evicted()
-            && now() < by
+    /// If a connection with unread input is closed, the kernel drops output that the client has not acknowledged.
+    async fn wait_until_acknowledged(&self) {
+        let deadline = now() + self.longest_timeout;
+        while self.registration.unacknowledged_bytes() > 0
+            && !self.registration.is_disconnected()
+            && !self.registration.is_evicted()
+            && now() < deadline
         {
-            sleep(UNTAKEN_POLL_INTERVAL).await;
+            sleep(ACKNOWLEDGEMENT_CHECK_INTERVAL).await;
         }
     }
 }
--- a/crates/gateway/src/discovery/http.rs
+++ b/crates/gateway/src/discovery/http.rs
@@ -135,21 +135,19 @@
         Some("429" | "503") => return Err(PollError::Refused(status.to_owned())),
         _ => return Err(PollError::UnexpectedStatus(status.to_owned())),
     }
-    let header = |name: &str| {
+    let field = |name: &str| {
         let mut fields = text.split("\r\n").filter_map(|line| line.split_once(':'));
         fields
             .find(|(n, _)| n.trim() == name)
             .map(|(_, value)| value.trim())
     };
-    let framing = match header("content-length") {
-        _ if header("transfer-encoding").is_some_and(|v| v.ends_with("chunked")) => {
-            Framing::Chunked
-        }
+    let framing = match field("content-length") {
+        _ if field("transfer-encoding").is_some_and(|v| v.ends_with("chunked")) => Framing::Chunked,
         Some(length) => Framing::Length(length.parse().map_err(|_| PollError::Io(invalid_data()))?),
         None => Framing::Close,
     };
     let closes_connection = matches!(framing, Framing::Close)
-        || header("connection") == Some("close")
+        || field("connection") == Some("close")
         || status.starts_with("http/1.0");
     Ok(ResponseHead {
         framing,
