--- a/crates/gateway/src/client/mod.rs
+++ b/crates/gateway/src/client/mod.rs
@@ -70,7 +70,7 @@
     cancel_key: Option<CancelKey>,
     read_ahead: ReadAhead,
     accepted_at: Instant,
-    /// The longest timeout that a request may have.
+    /// The longest client timeout of all request classes.
     longest_timeout: Duration,
     /// The connection as backpressure sees it.
     registration: Rc<ClientConnection>,
--- a/crates/gateway/src/client/pipelining.rs
+++ b/crates/gateway/src/client/pipelining.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// The connection has ended before the future.
+    /// The connection ended before the future completed.
     pub(super) async fn read_ahead_until<F: Future>(
         &mut self,
         mut future: Pin<&mut F>,
--- a/crates/gateway/src/client/startup.rs
+++ b/crates/gateway/src/client/startup.rs
@@ -32,7 +32,7 @@
     /// Answers the startup packets; without a timeout.
     async fn admit(&mut self) -> io::Result<NextStep> {
         loop {
-            let (code, rest) = match messages::decode_startup_packet(&mut self.connection.input) {
+            let (code, body) = match messages::decode_startup_packet(&mut self.connection.input) {
                 Ok(Some(packet)) => packet,
                 Ok(None) => {
                     self.connection.read().await?;
@@ -48,7 +48,7 @@
                 messages::SSL_REQUEST | messages::GSSENC_REQUEST => self.write(b"N").await?,
                 messages::CANCEL_REQUEST => {
                     // The protocol has no answer to a cancel: the connection is closed whatever its effect.
-                    if let Ok(key) = <[u8; 8]>::try_from(rest) {
+                    if let Ok(key) = <[u8; 8]>::try_from(body) {
                         let keys = &self.context.cancel_keys;
                         keys.cancel(u64::from_be_bytes(key), self.accepted_at);
                     }
--- a/crates/gateway/src/postgres/messages.rs
+++ b/crates/gateway/src/postgres/messages.rs
@@ -204,7 +204,7 @@
         .is_some_and(|end| name_and_rest.len() == end + 1 + 18)
 }
 
-/// Returns whether a DataRow holds exactly one value of at most [`MAX_VALUE`] bytes, as long as its length field says.
+/// Returns whether a DataRow holds exactly one value of at most `MAX_VALUE` bytes, as long as its length field says.
 pub fn holds_one_value(body: &[u8]) -> bool {
     let value = body
         .strip_prefix(&[0, 1])
--- a/crates/gateway/src/postgres/query_comment.rs
+++ b/crates/gateway/src/postgres/query_comment.rs
@@ -212,8 +212,8 @@
     })
 }
 
-/// Parses a decimal number without sign and exponent; other notations might not mean the
-/// same to client, gateway and server.
+/// Parses a decimal number without sign and exponent; other notations might be read differently by client, gateway and
+/// server.
 fn parse_number(name: &str, value: &str) -> Result<f64, QueryError> {
     match value.parse::<f64>() {
         // Unix time in milliseconds stays below the bound for centuries.
