--- a/crates/gateway/src/client/query.rs
+++ b/crates/gateway/src/client/query.rs
@@ -7,7 +7,7 @@
 use leverpoint_engine::client_connections::BufferReservation;
 use leverpoint_engine::engine::{FinalAnswer, PendingRequest, Rejection};
 use leverpoint_engine::metrics::increment;
-use leverpoint_runtime::{Instant, plant, sleep_until, timeout};
+use leverpoint_runtime::{Instant, failpoint_active, sleep_until, timeout};
 
 use crate::client::Client;
 use crate::client::response::Delivery;
@@ -52,7 +52,10 @@
         if !self.admission.has_capacity {
             return self.reject_without_capacity().await;
         }
-        assert!(!(plant("panic") && text.contains("c=history")), "planted");
+        assert!(
+            !(failpoint_active("panic") && text.contains("c=history")),
+            "planted"
+        );
         let accepted = match self
             .engine
             .on_request(&request, text, received, &self.registration)
@@ -162,7 +165,7 @@
                 biased;
                 outcome = accepted => Some(outcome),
                 () = cancelled => None,
-                () = sleep_until(deadline), if !plant("wait-without-end") => Some(FinalAnswer::Failed),
+                () = sleep_until(deadline), if !failpoint_active("wait-without-end") => Some(FinalAnswer::Failed),
             }
         };
         self.read_ahead_until(pin!(outcome)).await
--- a/crates/gateway/src/io/connection.rs
+++ b/crates/gateway/src/io/connection.rs
@@ -89,7 +89,7 @@
 
     /// Makes the connection end with a reset when it is dropped; unsent bytes are discarded.
     pub(crate) fn reset_on_drop(&self) {
-        self.stream.discard();
+        self.stream.reset_on_drop();
     }
 
     /// Raises the input's bound for a message of `length` bytes; returns how long the reservation was waited for.
@@ -147,7 +147,7 @@
 
     /// Like [`Self::try_read`], but also reads bytes for which the runtime has not reported readiness yet.
     pub(crate) fn try_read_direct(&mut self) -> io::Result<usize> {
-        self.try_read_with(Stream::read_past)
+        self.try_read_with(Stream::read_bypassing_readiness)
     }
 
     fn try_read_with(
@@ -210,7 +210,7 @@
                 self.receive_times
                     .iter_mut()
                     .for_each(ReceiveTimes::on_full);
-                self.stream.wait_for_end().await;
+                self.stream.wait_for_peer_close().await;
                 return Err(ErrorKind::UnexpectedEof.into());
             }
             self.readable().await?;
@@ -306,14 +306,14 @@
     /// What it still sends is left unread, so that the close resets the connection and the other side learns that the
     /// bytes were not processed.
     pub(crate) async fn shutdown_without_reading(&mut self) -> io::Result<()> {
-        self.stream.finish()?;
-        self.stream.wait_for_end().await;
+        self.stream.shutdown_write()?;
+        self.stream.wait_for_peer_close().await;
         Ok(())
     }
 
     /// Shuts down the write side, then reads and discards up to `max_bytes` until the other side closes.
     pub(crate) async fn shutdown_and_drain(&mut self, max_bytes: usize) -> io::Result<()> {
-        self.stream.finish()?;
+        self.stream.shutdown_write()?;
         let mut discarded = 0;
         while discarded < max_bytes {
             discarded += self.input.skip(self.input.len());
--- a/crates/gateway/src/server/answer.rs
+++ b/crates/gateway/src/server/answer.rs
@@ -13,7 +13,7 @@
 use leverpoint_engine::client_connections::{BufferKind, BufferReservation, ClientConnections};
 use leverpoint_engine::engine::{Attempt, ReportedParameters, Row};
 use leverpoint_routing::api::{AttemptOutcome, Ticks};
-use leverpoint_runtime::{Instant, now, plant, timeout_at};
+use leverpoint_runtime::{Instant, failpoint_active, now, timeout_at};
 
 use crate::io::connection::BufferedConnection;
 use crate::postgres::messages::{self, DecodeResult};
@@ -77,7 +77,7 @@
     ) -> io::Result<()> {
         let before = socket.input.len();
         // Until the first byte, only the attempt's own timeout applies.
-        if before == 0 && !self.slow_detector.begun() {
+        if before == 0 && !self.slow_detector.has_started() {
             socket.read().await?;
         } else if !self.rate_checked {
             let read = timeout_at(self.deadline, socket.read()).await;
@@ -112,7 +112,7 @@
     fn check_rate(&mut self, received: usize, before: usize, length: usize) -> io::Result<()> {
         let now = self.ticks(now());
         if received > before {
-            self.slow_detector.came(now, received - before);
+            self.slow_detector.on_bytes_received(now, received - before);
         }
         let missing = length.saturating_sub(received);
         let deadline = self.ticks(self.attempt.deadline);
@@ -160,7 +160,7 @@
             (b'D', None)
                 if !self.has_row
                     && !self.row.messages.is_empty()
-                    && (messages::holds_one_value(&body) || plant("unchecked")) =>
+                    && (messages::holds_one_value(&body) || failpoint_active("unchecked")) =>
             {
                 self.has_row = true;
                 messages::put_message(&mut self.row.messages, tag, &[&body]);
@@ -275,7 +275,7 @@
         reported: ReportedParameters,
     ) -> Answer {
         // Bytes received after ReadyForQuery belong to no statement.
-        let reusable = self.socket.input.is_empty() || plant("leftovers-kept");
+        let reusable = self.socket.input.is_empty() || failpoint_active("leftovers-kept");
         let outcome = if outcome == AttemptOutcome::Answered {
             attempt.on_report_complete(reported)
         } else {
@@ -318,7 +318,9 @@
                     &mut reservation,
                 );
                 let waited = reserved.await;
-                progress.slow_detector.excuse(duration_to_ticks(waited));
+                progress
+                    .slow_detector
+                    .exclude_wait(duration_to_ticks(waited));
             }
             progress.read_more(&mut self.socket, length).await?;
         }
--- a/crates/gateway/src/server/pool.rs
+++ b/crates/gateway/src/server/pool.rs
@@ -19,7 +19,7 @@
 use leverpoint_engine::engine::{Attempt, AttemptExecutor};
 use leverpoint_engine::metrics::{Metrics, increment};
 use leverpoint_routing::api::{AttemptOutcome, Ticks};
-use leverpoint_runtime::{now, plant, since, sleep, sleep_until, spawn, timeout_at};
+use leverpoint_runtime::{failpoint_active, now, since, sleep, sleep_until, spawn, timeout_at};
 
 use crate::server::answer::Answer;
 use crate::server::connection::ServerConnection;
@@ -73,7 +73,7 @@
         let result = tokio::select! {
             biased;
             result = self.run_on_connection(&attempt) => result,
-            () = sleep_until(attempt.deadline), if !plant("dispatch-without-end") => {
+            () = sleep_until(attempt.deadline), if !failpoint_active("dispatch-without-end") => {
                 Err(attempt.error(Cause::TimedOut))
             }
             () = attempt.cancelled.notified() => Err(attempt.error(Cause::Cancelled)),
@@ -82,7 +82,7 @@
             Err(AttemptError {
                 progress: Progress::Written,
                 cause: Cause::ConnectionBroken,
-            }) if plant("sent-again") => self.run_on_connection(&attempt).await,
+            }) if failpoint_active("sent-again") => self.run_on_connection(&attempt).await,
             result => result,
         };
         if result.is_err() {
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -12,10 +12,10 @@
 
 use fastrand::Rng;
 use hdrhistogram::Histogram;
-use leverpoint_test_support::client::{Judged, judged};
-use leverpoint_test_support::member::{Set, serving};
-use leverpoint_test_support::stage::{Build, Stage};
-use leverpoint_test_support::values::made;
+use leverpoint_test_support::client::{ResponseOutcome, classify_response};
+use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
+use leverpoint_test_support::replica_set::{ReplicaSet, start_replica_set};
+use leverpoint_test_support::values::expected_value;
 use plotters::prelude::*;
 use serde::Serialize;
 
@@ -61,7 +61,7 @@
 /// Fleets that play side by side on one set.
 const LANES: usize = 5;
 
-fn build(known: &str, on: bool, without: bool, seed: u64) -> Build {
+fn build(known: &str, on: bool, without: bool, seed: u64) -> FleetConfig {
     let sessions = "sessions {\n  follow = true\n  number = \"8c1f30d27a5be964\"\n}\n";
     let copies = "copies {\n  on = true\n  lease = \"500ms\"\n  starts = \"300ms\"\n}\n";
     // The harm without copies: sessions that trust what this process alone has seen.
@@ -72,26 +72,26 @@
         (true, false) => format!("{sessions}{copies}"),
         (false, false) => sessions.to_owned(),
     };
-    Build {
+    FleetConfig {
         processes: PROCESSES,
         founders: PROCESSES,
-        beat_ms: 50,
-        settles_ms: Some(50),
+        heartbeat_ms: 50,
+        settle_ms: Some(50),
         disk: true,
         zones: 2,
         members: true,
         relays: false,
         settings: SETTINGS.into(),
-        known: known.into(),
-        more,
+        known_list: known.into(),
+        extra_hcl: more,
         seed,
     }
 }
 
 struct Lane<'a> {
-    set: &'a Set,
+    set: &'a ReplicaSet,
     asked: &'a Asked,
-    stage: Stage,
+    stage: GatewayFleet,
     chance: Rng,
     name: usize,
     ids: usize,
@@ -129,10 +129,12 @@
                 thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            match judged(&heard, &made(&id, 64)) {
-                Judged::Answered => return Some(id),
-                Judged::Wrong | Judged::Failed => return None,
-                Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms.clamp(5, 100))),
+            match classify_response(&heard, &expected_value(&id, 64)) {
+                ResponseOutcome::Answered => return Some(id),
+                ResponseOutcome::Wrong | ResponseOutcome::Failed => return None,
+                ResponseOutcome::Throttled(ms) => {
+                    thread::sleep(Duration::from_millis(ms.clamp(5, 100)))
+                }
             }
         }
         None
@@ -157,13 +159,13 @@
             .command(writer, &|id, left| write(id, left, ""))
             .is_some();
         // Lost with its folder, at once.
-        let gone = self.stage.take(writer);
+        let gone = self.stage.kill_and_erase_keeping_log(writer);
         self.figures.machines_lost += 1;
         if answered {
             let unpromised = gone
                 .log
                 .try_iter()
-                .chain(gone.said.take())
+                .chain(gone.log_lines.take())
                 .any(|l| l.contains("without a promise"));
             self.figures.promises += usize::from(!unpromised);
             self.looks(reader, &session, !unpromised);
@@ -177,17 +179,17 @@
         let began = Instant::now();
         self.stage.start(writer);
         if !self.asked.without {
-            let version = self.stage.word(reader).layout;
-            let _ = self.stage.waits(reader, |word| {
+            let version = self.stage.observed(reader).layout;
+            let _ = self.stage.wait_for_state(reader, |word| {
                 word.layout >= version + 2 && word.holders >= 5
             });
-            (0..PROCESSES).for_each(|p| self.stage.settles(p));
+            (0..PROCESSES).for_each(|p| self.stage.wait_until_settled(p));
             let _ = self.repairs.record(began.elapsed().as_micros() as u64);
         }
     }
 
     fn looks(&mut self, reader: usize, session: &str, promised: bool) {
-        let Some(wrote) = self.set.wrote(session) else {
+        let Some(wrote) = self.set.last_write_position(session) else {
             return;
         };
         let began = Instant::now();
@@ -198,14 +200,14 @@
         };
         let row = self
             .command(reader, &read)
-            .and_then(|id| self.set.take_read(&id));
+            .and_then(|id| self.set.take_read_origin(&id));
         let Some(row) = row else {
             self.figures.failed += 1;
             return;
         };
         self.times
             .saturating_record(began.elapsed().as_micros() as u64);
-        let missing = row.at < wrote;
+        let missing = row.position < wrote;
         self.figures.missing += usize::from(missing);
         self.figures.promises_broken += usize::from(missing && promised);
         self.primary += usize::from(row.by_primary);
@@ -214,7 +216,7 @@
 }
 
 fn tries(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let many = if asked.short {
         asked.tries.min(150)
     } else {
@@ -223,11 +225,11 @@
     let (next, over) = (AtomicUsize::new(0), AtomicBool::new(false));
     let lane = |name: usize| {
         let seed = asked.seed * 100 + name as u64;
-        let mut stage = Stage::new(program, build(&known, true, asked.without, seed));
+        let mut stage = GatewayFleet::new(program, build(&known, true, asked.without, seed));
         stage.start_all();
         if !asked.without {
-            stage.meet(&[0, 1, 2, 3, 4], 1);
-            (0..PROCESSES).for_each(|p| stage.settles(p));
+            stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+            (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
         }
         let mut lane = Lane {
             set: &set,
@@ -265,7 +267,7 @@
             let mut chance = Rng::with_seed(asked.seed);
             while !over.load(Relaxed) {
                 thread::sleep(Duration::from_millis(chance.u64(2_000..6_000)));
-                set.hand_over(chance.usize(..MEMBERS));
+                set.switch_over(chance.usize(..MEMBERS));
             }
         });
         let lanes = lanes
@@ -294,7 +296,7 @@
             needless + lane.needless,
         );
     }
-    figures.keys_applied_twice = set.effects().0;
+    figures.keys_applied_twice = set.effect_counts().0;
     let share = |part: usize, of: usize| part as f64 / of.max(1) as f64;
     figures.unpromised_share = 1.0 - share(figures.promises, repeats);
     figures.unclear_share = share(unclear, repeats);
@@ -310,15 +312,15 @@
 /// Writes through a fleet that copies and through one that does not, in turns, by as many clients as play at a time; the
 /// p99 of the one over the other's.
 fn beside(asked: &Asked, program: &Path, clients: usize) -> Result<f64, String> {
-    let (_set, _members, known) = serving(BUILD, MEMBERS, WORK);
-    let stages: Vec<Stage> = [true, false]
+    let (_set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
+    let stages: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
-            let mut stage = Stage::new(program, build(&known, on, false, asked.seed));
+            let mut stage = GatewayFleet::new(program, build(&known, on, false, asked.seed));
             stage.start_all();
-            stage.meet(&[0, 1, 2, 3, 4], 1);
+            stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
             if on {
-                (0..PROCESSES).for_each(|p| stage.settles(p));
+                (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
             }
             stage
         })
@@ -383,10 +385,10 @@
             let began = Instant::now();
             loop {
                 let heard = stage::ask(&mut fleet[to], &text).ok_or("a connection ended")?;
-                match judged(&heard, &made(&id, 64)) {
-                    Judged::Answered => break,
+                match classify_response(&heard, &expected_value(&id, 64)) {
+                    ResponseOutcome::Answered => break,
                     // Its client comes back; that time counts as well.
-                    Judged::Throttled(ms) => thread::sleep(Duration::from_millis(ms)),
+                    ResponseOutcome::Throttled(ms) => thread::sleep(Duration::from_millis(ms)),
                     other => return Err(format!("{id}: {other:?}")),
                 }
             }
@@ -401,19 +403,19 @@
 
 /// In service, with nothing lost: what a session's read costs where any gateway may have taken its reports.
 fn players(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let (set, _members, known) = serving(BUILD, MEMBERS, WORK);
-    let mut stage = Stage::new(program, build(&known, true, asked.without, asked.seed));
+    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
+    let mut stage = GatewayFleet::new(program, build(&known, true, asked.without, asked.seed));
     stage.start_all();
     if !asked.without {
-        stage.meet(&[0, 1, 2, 3, 4], 1);
-        (0..PROCESSES).for_each(|p| stage.settles(p));
+        stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+        (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
     }
     let addresses: Vec<String> = (0..PROCESSES)
         .map(|p| stage.gateway(p).address.clone())
         .collect();
     let over = AtomicBool::new(false);
     let (all, missing) = thread::scope(|scope| {
-        let (set, addresses, over): (&Set, &[String], _) = (&set, &addresses, &over);
+        let (set, addresses, over): (&ReplicaSet, &[String], _) = (&set, &addresses, &over);
         let players: Vec<_> = (0..PLAYERS)
             .map(|n| scope.spawn(move || player(n, addresses, set, over)))
             .collect();
@@ -443,10 +445,10 @@
         return Ok(());
     }
     let exact: u64 = (0..PROCESSES)
-        .map(|p| stage.counted_of(p, "copies", "exact"))
+        .map(|p| stage.counter(p, "copies", "exact"))
         .sum();
     let owed: u64 = (0..PROCESSES)
-        .map(|p| stage.counted_of(p, "copies", "owed"))
+        .map(|p| stage.counter(p, "copies", "owed"))
         .sum();
     eprintln!(
         "{} reads of players, {missing} missing, {exact} exact, {owed} owed the instant",
@@ -458,7 +460,7 @@
 fn player(
     n: usize,
     addresses: &[String],
-    set: &Set,
+    set: &ReplicaSet,
     over: &AtomicBool,
 ) -> (Vec<(f64, bool)>, usize) {
     let (mut rows, mut missing, mut chance, mut ids) = (Vec::new(), 0, Rng::with_seed(n as u64), 0);
@@ -470,7 +472,7 @@
     while !over.load(Relaxed) {
         thread::sleep(Duration::from_millis(chance.u64(20..120)));
         ids += 1;
-        let (id, wrote) = (format!("q{n}n{ids}"), set.wrote(&session));
+        let (id, wrote) = (format!("q{n}n{ids}"), set.last_write_position(&session));
         let write = wrote.is_none() || chance.u8(..4) == 0;
         let text = stage::of_session(&session, &id, write);
         let began = Instant::now();
@@ -478,9 +480,10 @@
         let Some(heard) = line.as_mut().and_then(|stream| stage::ask(stream, &text)) else {
             continue;
         };
-        let answered = judged(&heard, &made(&id, 64)) == Judged::Answered;
-        if let Some(row) = set.take_read(&id).filter(|_| answered && !write) {
-            missing += usize::from(wrote.is_some_and(|wrote| row.at < wrote));
+        let answered =
+            classify_response(&heard, &expected_value(&id, 64)) == ResponseOutcome::Answered;
+        if let Some(row) = set.take_read_origin(&id).filter(|_| answered && !write) {
+            missing += usize::from(wrote.is_some_and(|wrote| row.position < wrote));
             rows.push((began.elapsed().as_secs_f64() * 1e3, row.needless));
         }
     }
@@ -501,11 +504,11 @@
     } else {
         asked.records
     };
-    let (_set, _members, known) = serving(BUILD, MEMBERS, Duration::from_micros(50));
-    let mut stage = Stage::new(program, build(&known, true, false, asked.seed));
+    let (_set, _members, known) = start_replica_set(BUILD, MEMBERS, Duration::from_micros(50));
+    let mut stage = GatewayFleet::new(program, build(&known, true, false, asked.seed));
     stage.start_all();
-    stage.meet(&[0, 1, 2, 3, 4], 1);
-    (0..PROCESSES).for_each(|p| stage.settles(p));
+    stage.wait_for_layout(&[0, 1, 2, 3, 4], 1);
+    (0..PROCESSES).for_each(|p| stage.wait_until_settled(p));
     let next = AtomicUsize::new(0);
     let addresses: Vec<String> = (0..PROCESSES)
         .map(|p| stage.gateway(p).address.clone())
@@ -540,13 +543,13 @@
         "{records} sessions written in {:.1} s",
         began.elapsed().as_secs_f64()
     );
-    let counted = |stage: &mut Stage, p: usize| stage.counted_of(p, "copies", "copies.records");
+    let counted = |stage: &mut GatewayFleet, p: usize| stage.counter(p, "copies", "copies.records");
     let held: Vec<u64> = (0..PROCESSES).map(|p| counted(&mut stage, p)).collect();
-    let bytes = |stage: &mut Stage| -> u64 {
-        let running: Vec<usize> = (0..PROCESSES).filter(|p| stage.runs(*p)).collect();
+    let bytes = |stage: &mut GatewayFleet| -> u64 {
+        let running: Vec<usize> = (0..PROCESSES).filter(|p| stage.is_running(*p)).collect();
         running
             .into_iter()
-            .map(|p| stage.counted_of(p, "member", "link.sent_bytes"))
+            .map(|p| stage.counter(p, "member", "link.sent_bytes"))
             .sum()
     };
     let over = AtomicBool::new(false);
@@ -555,7 +558,7 @@
         let over = &over;
         let player = scope.spawn(move || commands(&address, over));
         thread::sleep(4 * STEP);
-        stage.burn(4);
+        stage.kill_and_erase(4);
         stage.start(4);
         let (mut rows, began) = (Vec::new(), Instant::now());
         let before = bytes(&mut stage);
@@ -568,7 +571,7 @@
                 bytes(&mut stage).saturating_sub(before),
             ));
             let [version, base, whole] = ["copies.layout", "copies.base", "copies.whole"]
-                .map(|name| stage.counted_of(4, "copies", name));
+                .map(|name| stage.counter(4, "copies", name));
             if (whole >= version && base == version && version > 1)
                 || began.elapsed() > Duration::from_secs(600)
             {
