--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -74,11 +74,11 @@
             &endpoint_list(7, true, &targets),
             SETTINGS,
         );
-        let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
+        let gateway = stands::start(&text, address, agent.as_agent(), program(), &[]);
         agent
             .next_request()
             .send(&http_ok(&endpoint_list(8, true, &targets)));
-        assert!(agent.next_request().line.contains("index=8&"));
+        assert!(agent.next_request().request_line.contains("index=8&"));
         let mut client = gateway.connect_client();
         assert_eq!(client.run_statement(""), "I Z");
         for set in sets {
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -365,7 +365,7 @@
     for p in [0, 1, 2, 3] {
         fleet
             .stage
-            .expect_state(p, "n3 with another memory", |word| word.layout >= 5);
+            .expect_state(p, "n3 with another memory", |word| word.layout_version >= 5);
     }
     fleet.writes(0, "s", "k2");
     fleet.sees(2, "s");
@@ -374,7 +374,7 @@
     fleet.sees(4, "s");
     fleet
         .stage
-        .expect_state(4, "the newer layout", |word| word.layout >= 5);
+        .expect_state(4, "the newer layout", |word| word.layout_version >= 5);
     (0..5).for_each(|p| fleet.stage.wait_until_settled(p));
     fleet.sees(4, "s");
     assert_eq!(fleet.effects(), (0, 2));
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -89,7 +89,7 @@
     }
     agent.next_request().send(&http_ok(&now));
     // Until a watch from that list on is opened: it has been taken.
-    while !agent.next_request().line.contains("index=9") {}
+    while !agent.next_request().request_line.contains("index=9") {}
     assert_eq!(
         gateway.connect_client().run_statement(&insert("order")),
         "T D stays C Z"
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -88,7 +88,7 @@
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
     assert_eq!(stage.observed(4).memory, memory);
     assert_eq!(
-        stage.observed(0).layout,
+        stage.observed(0).layout_version,
         3,
         "with its folder it is the holder that it was"
     );
@@ -97,7 +97,7 @@
     stage.start(4);
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
     assert_ne!(stage.observed(4).memory, memory);
-    assert_eq!(stage.observed(4).holders, 5);
+    assert_eq!(stage.observed(4).holder_count, 5);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
 
@@ -159,10 +159,16 @@
     );
     for p in [2, 3, 4] {
         stage.expect_state(p, "a layout without n1", |word| {
-            word.layout == 4 && word.holders == 4
+            word.layout_version == 4 && word.holder_count == 4
         });
     }
-    assert_eq!((stage.observed(0).layout, stage.observed(1).layout), (3, 3));
+    assert_eq!(
+        (
+            stage.observed(0).layout_version,
+            stage.observed(1).layout_version
+        ),
+        (3, 3)
+    );
     stage.clear_faults();
     // Both sides meet, and who was voted out is taken in again.
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
--- a/crates/gateway/tests/pipelined.rs
+++ b/crates/gateway/tests/pipelined.rs
@@ -202,7 +202,7 @@
     let address = free_address();
     let text = config(&address, &agent.address, &known, &settings(3_000));
     // It remembers a list and asks its agent, which is silent: for a while nobody is accepted.
-    let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
+    let gateway = stands::start(&text, address, agent.as_agent(), program(), &[]);
     let mut stream = gateway.connect();
     stream
         .write_all(&[STARTUP_MESSAGE, &query_message(&insert("order"))].concat())
@@ -221,7 +221,7 @@
     let agent = ManualAgent::new();
     let address = free_address();
     let text = config(&address, &agent.address, "null", &settings(3_000));
-    let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
+    let gateway = stands::start(&text, address, agent.as_agent(), program(), &[]);
     let mut ask = agent.next_request();
     let mut client = gateway.connect_client();
     client.send(&[query_message(""), query_message(&insert("order"))].concat());
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -67,7 +67,7 @@
     let address = free_address();
     let text = config(&address, &held.address, known, settings);
     (
-        stands::start(&text, address, held.agent(), program(), &[]),
+        stands::start(&text, address, held.as_agent(), program(), &[]),
         held,
     )
 }
@@ -78,15 +78,15 @@
     loop {
         let ask = agent.next_request();
         if ask
-            .line
+            .request_line
             .starts_with(&format!("GET /api/targets?index={revision}&"))
         {
             return ask;
         }
         assert!(
-            ask.line.starts_with("GET /api/targets HTTP"),
+            ask.request_line.starts_with("GET /api/targets HTTP"),
             "{}",
-            ask.line
+            ask.request_line
         );
     }
 }
@@ -151,16 +151,18 @@
     agent.next_request().send(&http_ok(&known));
     let silent = agent.next_request();
     assert!(
-        silent.line.starts_with("GET /api/targets?index=7&wait="),
+        silent
+            .request_line
+            .starts_with("GET /api/targets?index=7&wait="),
         "{}",
-        silent.line
+        silent.request_line
     );
     let began = Instant::now();
     let mut whole = agent.next_request();
     assert!(
-        whole.line.starts_with("GET /api/targets HTTP"),
+        whole.request_line.starts_with("GET /api/targets HTTP"),
         "{}",
-        whole.line
+        whole.request_line
     );
     // The term's own bound, not a speed: a change counts as told 6 s after discovery had it.
     assert!(began.elapsed() < Duration::from_secs(6));
@@ -171,7 +173,7 @@
     assert!(
         agent
             .next_request()
-            .line
+            .request_line
             .starts_with("GET /api/targets?index=8&")
     );
     assert_eq!(
@@ -188,7 +190,10 @@
     let mut trace = String::new();
     let mut next = |what: &str| {
         let ask = agent.next_request();
-        trace += &format!("{what}: {}\n", ask.line.split("&wait").next().unwrap());
+        trace += &format!(
+            "{what}: {}\n",
+            ask.request_line.split("&wait").next().unwrap()
+        );
         ask
     };
     next("at the start").send(&http_ok(&known));
@@ -228,9 +233,9 @@
         "T D one C Z"
     );
     assert!(
-        again.line.starts_with("GET /api/targets HTTP"),
+        again.request_line.starts_with("GET /api/targets HTTP"),
         "{}",
-        again.line
+        again.request_line
     );
     // In two parts with the close behind them.
     again.send(head);
@@ -250,7 +255,7 @@
     assert!(
         agent
             .next_request()
-            .line
+            .request_line
             .starts_with("GET /api/targets HTTP")
     );
     assert_eq!(
@@ -283,7 +288,7 @@
     gateway.wait_for_log("configuration reloaded");
     let mut first = elsewhere.next_request();
     watch.send(&late[late.len() - 20..]);
-    assert!(first.line.starts_with("GET /api/targets HTTP"));
+    assert!(first.request_line.starts_with("GET /api/targets HTTP"));
     let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("report")), "T D one C Z");
     first.send(&http_ok(&full_endpoint_list(
@@ -293,7 +298,7 @@
     assert!(
         elsewhere
             .next_request()
-            .line
+            .request_line
             .starts_with("GET /api/targets?index=2&")
     );
     assert_eq!(client.run_statement(&insert("report")), "T D three C Z");
@@ -611,9 +616,9 @@
         let says = thread::spawn(move || endless.send_until_closed(b' '));
         let again = agent.next_request();
         assert!(
-            again.line.starts_with("GET /api/targets HTTP"),
+            again.request_line.starts_with("GET /api/targets HTTP"),
             "{}",
-            again.line
+            again.request_line
         );
         assert_eq!(
             gateway.connect_client().run_statement(&insert("report")),
@@ -963,7 +968,7 @@
     )
     .unwrap();
     stands::output(Command::new("chmod").args(["+x", limited.to_str().unwrap()]));
-    let gateway = stands::start(&text, address, held.agent(), &limited, &[]);
+    let gateway = stands::start(&text, address, held.as_agent(), &limited, &[]);
     std::fs::remove_file(&limited).unwrap();
     let silent = held.next_request();
     let mut idle: Vec<_> = (0..60)
@@ -985,12 +990,12 @@
     for _ in 0..2 {
         assert!(
             held.next_request()
-                .line
+                .request_line
                 .starts_with("GET /api/targets HTTP")
         );
     }
     held.next_request().send(&http_ok(&known));
-    assert!(held.next_request().line.contains("index=7"));
+    assert!(held.next_request().request_line.contains("index=7"));
     // A new front finds it ready and a new client is served, though all those are still there.
     let mut fresh = gateway.connect_client();
     assert_eq!(fresh.run_statement(""), "I Z");
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -49,10 +49,10 @@
 fn asks(length: usize) -> RequestSpec {
     let (group, tenant, timeout) = ("short".into(), "venue".into(), Duration::from_millis(900));
     RequestSpec {
-        group,
+        request_class: group,
         tenant,
-        set: 2,
-        length,
+        replica_set: 2,
+        value_length: length,
         timeout,
     }
 }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -75,8 +75,8 @@
         &settings,
     );
     let program = Path::new(env!("CARGO_BIN_EXE_leverpoint"));
-    let _gateway = start(&text, address, held.agent(), program, &[]);
-    (0..2).map(|_| held.next_request().line).collect()
+    let _gateway = start(&text, address, held.as_agent(), program, &[]);
+    (0..2).map(|_| held.next_request().request_line).collect()
 }
 
 #[test]
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -179,9 +179,9 @@
         let began = Instant::now();
         self.stage.start(writer);
         if !self.asked.without {
-            let version = self.stage.observed(reader).layout;
+            let version = self.stage.observed(reader).layout_version;
             let _ = self.stage.wait_for_state(reader, |word| {
-                word.layout >= version + 2 && word.holders >= 5
+                word.layout_version >= version + 2 && word.holder_count >= 5
             });
             (0..PROCESSES).for_each(|p| self.stage.wait_until_settled(p));
             let _ = self.repairs.record(began.elapsed().as_micros() as u64);
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/members.rs
@@ -246,8 +246,8 @@
     }
     // What begins with a fleet is over: the votes on each new holder, greetings of first connections, news.
     let began = Instant::now();
-    while stage.observed(0).holders < members as u64 && began.elapsed() < TAKEN_IN {
-        let _ = stage.wait_for_state(0, |word| word.holders >= members as u64);
+    while stage.observed(0).holder_count < members as u64 && began.elapsed() < TAKEN_IN {
+        let _ = stage.wait_for_state(0, |word| word.holder_count >= members as u64);
     }
     eprintln!(
         "{members} members hold a layout after {:.1} s",
--- a/crates/loadtest/src/slow.rs
+++ b/crates/loadtest/src/slow.rs
@@ -139,10 +139,10 @@
         let habits =
             |of: &[ClientBehavior], n: usize| (0..n).map(|i| of[i % of.len()]).collect::<Vec<_>>();
         let asks = RequestSpec {
-            group: "view".into(),
+            request_class: "view".into(),
             tenant: "venue".into(),
-            set: 2,
-            length: LENGTH,
+            replica_set: 2,
+            value_length: LENGTH,
             timeout: TIMEOUT,
         };
         let readers = SlowClients::start(to, &habits(&READERS, asked.readers), &asks, &seen, first);
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -48,8 +48,8 @@
     pub admitted: bool,
     pub superseded: bool,
     pub name_in_use: bool,
-    pub layout: u64,
-    pub holders: u64,
+    pub layout_version: u64,
+    pub holder_count: u64,
     pub layout_conflicts: u64,
     /// Words of others' lives that had ended before, by its own earlier word.
     pub stale_statuses: u64,
@@ -67,7 +67,7 @@
             "member started" if line["life"].is_u64() => {
                 (self.incarnation, self.memory) =
                     (line["life"].as_u64().unwrap_or(0), text("memory"));
-                self.layout = line["layout"].as_u64().unwrap_or(0);
+                self.layout_version = line["layout"].as_u64().unwrap_or(0);
             }
             "member status changed" => {
                 let life = line["life"].as_u64().unwrap_or(0);
@@ -79,8 +79,8 @@
                 self.statuses.insert(text("who"), (life, text("seen")));
             }
             "layout changed" => {
-                self.layout = line["version"].as_u64().unwrap_or(0);
-                self.holders = line["holders"].as_u64().unwrap_or(0);
+                self.layout_version = line["version"].as_u64().unwrap_or(0);
+                self.holder_count = line["holders"].as_u64().unwrap_or(0);
             }
             "conflicting layouts of one version" => self.layout_conflicts += 1,
             said if said.starts_with("member name already in use") => self.name_in_use = true,
@@ -430,7 +430,8 @@
                 .cloned()
                 .collect();
             self.expect_state(*p, &format!("layout {version} and all here"), |word| {
-                word.layout >= version && others.iter().all(|other| word.has_status(other, "here"))
+                word.layout_version >= version
+                    && others.iter().all(|other| word.has_status(other, "here"))
             });
         }
     }
--- a/crates/test-support/src/manual.rs
+++ b/crates/test-support/src/manual.rs
@@ -137,7 +137,7 @@
 
 /// One ask, and where its answer goes.
 pub struct AgentRequest {
-    pub line: String,
+    pub request_line: String,
     stream: TcpStream,
 }
 
@@ -159,7 +159,7 @@
                             .take_while(|line| !line.is_empty())
                             .for_each(drop);
                         let _ = tell.send(AgentRequest {
-                            line,
+                            request_line: line,
                             stream: stream.try_clone().unwrap(),
                         });
                     }
@@ -170,7 +170,7 @@
     }
 
     /// As a gateway's own agent, which says nothing and tells of no ask.
-    pub fn agent(&self) -> Agent {
+    pub fn as_agent(&self) -> Agent {
         Agent {
             address: self.address.clone(),
             responses: mpsc::channel().0,
--- a/crates/test-support/src/slow_clients.rs
+++ b/crates/test-support/src/slow_clients.rs
@@ -34,11 +34,11 @@
 /// What is asked.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
-    pub group: String,
+    pub request_class: String,
     pub tenant: String,
-    pub set: u16,
+    pub replica_set: u16,
     /// Bytes of the answer.
-    pub length: usize,
+    pub value_length: usize,
     /// The client timeout.
     pub timeout: Duration,
 }
@@ -186,7 +186,7 @@
             let (asks, wait) = (&self.asks, self.asks.timeout.as_millis());
             let text = format!(
                 "SELECT v FROM records WHERE k = '{}-{}' /* id={id},c={},t={},d={wait},cluster={} */",
-                asks.length, self.name, asks.group, asks.tenant, asks.set
+                asks.value_length, self.name, asks.request_class, asks.tenant, asks.replica_set
             );
             let bytes = query_message(&text);
             match self.habit {
@@ -282,7 +282,7 @@
     /// Counts an answer; after how long to come again, where it says so.
     fn judge(&self, id: &str, heard: &[u8]) -> Duration {
         let seen = &self.seen;
-        match classify_response(heard, &expected_value(id, self.asks.length)) {
+        match classify_response(heard, &expected_value(id, self.asks.value_length)) {
             ResponseOutcome::Answered => increment(&seen.answered),
             ResponseOutcome::Wrong => increment(&seen.wrong),
             ResponseOutcome::Throttled(ms) => {
