--- a/crates/test-support/src/file_lease.rs
+++ b/crates/test-support/src/file_lease.rs
@@ -1,6 +1,5 @@
-//! Owns a lease on a file: whoever opens it waits until the lease is given up.
-//!
-//! It must never touch what the file holds.
+//! A Linux write lease on a file (`F_SETLEASE`), with which a test blocks a process that opens the file until the lease
+//! is released. The file's contents are not touched.
 
 use std::fs::File;
 use std::os::fd::AsRawFd;
@@ -10,37 +9,39 @@
 
 use crate::wire::WAIT_LIMIT;
 
+/// A write lease: another process that opens the file blocks in `open` until [`FileLease::release`].
 pub struct FileLease {
     file: File,
 }
 
-fn set(file: &File, kind: libc::c_int) {
-    // SAFETY: the descriptor is open for as long as the file is held, and the call takes a plain number.
-    let set = unsafe { libc::fcntl(file.as_raw_fd(), libc::F_SETLEASE, kind) };
-    assert_eq!(set, 0, "{}", std::io::Error::last_os_error());
+fn set_lease(file: &File, kind: libc::c_int) {
+    // SAFETY: the descriptor is open as long as `file` is borrowed, and the call takes an integer argument.
+    let result = unsafe { libc::fcntl(file.as_raw_fd(), libc::F_SETLEASE, kind) };
+    assert_eq!(result, 0, "{}", std::io::Error::last_os_error());
 }
 
 impl FileLease {
-    /// On a file that nobody has open.
+    /// Takes a write lease on a file that no process has open; panics where the kernel refuses it.
     pub fn acquire(path: &Path) -> FileLease {
-        // SAFETY: no handler is installed; the signal that says that a lease is waited for is passed over.
+        // SAFETY: no handler is installed; SIGIO, which announces that a process waits for the lease, is ignored.
         unsafe { libc::signal(libc::SIGIO, libc::SIG_IGN) };
         let file = File::options().read(true).write(true).open(path).unwrap();
-        set(&file, libc::F_WRLCK);
+        set_lease(&file, libc::F_WRLCK);
         FileLease { file }
     }
 
-    /// Waits until somebody wants to open the file.
+    /// Waits until a process tries to open the file; panics after [`WAIT_LIMIT`].
     pub fn wait_for_open(&self) {
-        let began = Instant::now();
+        let started = Instant::now();
         // SAFETY: as above; the call only reads.
         while unsafe { libc::fcntl(self.file.as_raw_fd(), libc::F_GETLEASE) } == libc::F_WRLCK {
-            assert!(began.elapsed() < WAIT_LIMIT, "nobody opens it");
+            assert!(started.elapsed() < WAIT_LIMIT, "no process opened the file");
             thread::sleep(Duration::from_millis(1));
         }
     }
 
+    /// Gives the lease up, which lets the process that waits in `open` continue.
     pub fn release(self) {
-        set(&self.file, libc::F_UNLCK);
+        set_lease(&self.file, libc::F_UNLCK);
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,13 @@
-//! Stand-ins on loopback for what a gateway meets, written from public protocols: database servers, discovery's
-//! agent, clients of several paces, and the real program itself as a test or an experiment starts it.
+//! Test doubles for what a gateway connects to (database servers, the discovery agent, clients that read or write at
+//! several rates), and helpers that run the gateway program itself. Tests, the load test and the simulator use them.
 //!
-//! They judge nothing but whether a value is the one made for a command ([`values`]). Nothing here listens or
-//! connects anywhere but on loopback, and every wait has an end.
+//! The doubles are written from the public protocols, apart from the gateway's own parsers. The only verdict they give
+//! is whether a row holds the value expected for its request ([`values`]).
+//!
+//! # Invariants
+//!
+//! - Sockets are opened on loopback addresses only.
+//! - Every wait of a test is bounded, in most cases by [`wire::WAIT_LIMIT`].
 
 pub mod agent;
 pub mod client;
--- a/crates/test-support/src/pace.rs
+++ b/crates/test-support/src/pace.rs
@@ -1,31 +1,42 @@
-//! Owns the paces at which a stand-in writes.
+//! Rates at which a test server writes its answers: at once, in small pieces, or stalled partway.
 //!
-//! It must never hold on to a connection whose other side has gone.
+//! # Invariants
+//!
+//! A stalled writer returns as soon as the peer closes its connection.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::thread::sleep;
 use std::time::Duration;
 
-/// How a server writes an answer; `ends` below is where the row ends and role, position and ready begin.
+/// How a server writes an answer, which is a row followed by the server's status (role, replication position,
+/// ReadyForQuery).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pace {
+    /// The whole answer at once.
     Whole,
-    /// So many bytes at a time, with a pause before each next.
+    /// Pieces of this many bytes, with a pause after each.
     Trickle(usize, Duration),
-    /// So many bytes, then nothing more until the other side has gone.
+    /// This many bytes of the answer, then nothing until the peer closes the connection.
     Stall(usize),
-    /// The row whole, then nothing more likewise.
+    /// The whole row, then nothing until the peer closes the connection: ReadyForQuery is never sent.
     NeverReady,
 }
 
+/// Writes `bytes` to `stream` at the given pace. `row_end` is the offset at which the row ends and the server's status
+/// begins.
+///
+/// # Errors
+///
+/// Returns the error of a failed write, and `BrokenPipe` once the peer of a stalled writer has closed the connection or
+/// sent something.
 pub fn write_paced(
     stream: &mut TcpStream,
     bytes: &[u8],
-    ends: usize,
+    row_end: usize,
     pace: Pace,
 ) -> io::Result<()> {
-    let stops = match pace {
+    let stall_at = match pace {
         Pace::Whole => return stream.write_all(bytes),
         Pace::Trickle(at_a_time, pause) => {
             for piece in bytes.chunks(at_a_time) {
@@ -35,10 +46,10 @@
             return Ok(());
         }
         Pace::Stall(after) => after.min(bytes.len()),
-        Pace::NeverReady => ends,
+        Pace::NeverReady => row_end,
     };
-    stream.write_all(&bytes[..stops])?;
-    // The other side says nothing on its own before this answer is whole.
+    stream.write_all(&bytes[..stall_at])?;
+    // The peer sends nothing before it has the whole answer, so this read returns when the connection is closed.
     let _ = io::Read::read(stream, &mut [0; 1]);
     Err(io::ErrorKind::BrokenPipe.into())
 }
--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -1,22 +1,27 @@
-//! Owns the few bytes of PostgreSQL's protocol and of discovery's answers that stand-ins say and hear.
+//! Encoding and decoding of the PostgreSQL messages, SQL statements and discovery responses that the test doubles
+//! exchange with a gateway.
 //!
-//! Written from the public protocol, apart from the gateway's own parsers. It must never wait on its own account.
+//! Written from the public protocols, apart from the gateway's own parsers. Nothing here waits, other than for the
+//! stream that a message is read from.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Read};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Far longer than anything here takes; a wait that reaches it has failed.
+/// Time limit of a test's wait. It is far longer than anything a test waits for, so a wait that reaches it has failed.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
+/// StartupMessage of protocol version 3.0 for the user `svc` and the database `main`.
 pub const STARTUP_MESSAGE: &[u8] = b"\0\0\0\x20\0\x03\0\0user\0svc\0database\0main\0\0";
 
+/// Appends a message to `out`: its type byte `tag`, its length and `body`.
 pub fn put_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend(body);
 }
 
+/// Returns the wall clock's time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -24,12 +29,14 @@
         .as_millis()
 }
 
-pub fn row_messages(value: &str, done: &str) -> Vec<u8> {
-    row_messages_from_bytes(value.as_bytes(), done)
+/// Returns RowDescription, DataRow and CommandComplete for one row of one text value. `command_tag` is [`READ_TAG`] or
+/// [`WRITE_TAG`].
+pub fn row_messages(value: &str, command_tag: &str) -> Vec<u8> {
+    row_messages_from_bytes(value.as_bytes(), command_tag)
 }
 
-/// A row of one value, and what was done.
-pub fn row_messages_from_bytes(value: &[u8], done: &str) -> Vec<u8> {
+/// Like [`row_messages`], for a value that need not be UTF-8.
+pub fn row_messages_from_bytes(value: &[u8], command_tag: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put_message(
         &mut out,
@@ -41,20 +48,24 @@
         b'D',
         &[&b"\0\x01"[..], &(value.len() as u32).to_be_bytes(), value].concat(),
     );
-    put_message(&mut out, b'C', format!("{done}\0").as_bytes());
+    put_message(&mut out, b'C', format!("{command_tag}\0").as_bytes());
     out
 }
 
+/// Command tag of a read that returned one row.
 pub const READ_TAG: &str = "SELECT 1";
+/// Command tag of a write that inserted one row.
 pub const WRITE_TAG: &str = "INSERT 0 1";
 
+/// Reads one message and returns its type byte and its body; `None` where the stream ends or fails. Panics where the
+/// stream's read timeout passes without a byte.
 pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     if let Err(e) = stream.read_exact(&mut head) {
-        // A wait that came to nothing is no end of the connection.
+        // A read timeout must not be taken for the end of the connection.
         assert!(
             !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
-            "nothing came"
+            "no message within the read timeout"
         );
         return None;
     }
@@ -63,6 +74,7 @@
     Some((head[0], body))
 }
 
+/// Returns a complete HTTP 200 response with this body.
 pub fn http_ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -70,12 +82,15 @@
     )
 }
 
+/// Returns one entry of the discovery service's `targets`, as JSON. The field `later` stands for one that a future
+/// version adds, which a gateway has to ignore.
 pub fn target(uid: &str, address: &str, state: &str, mode: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"a","pod_group":2,"state":"{state}","mode":"{mode}","later":1}}"#
     )
 }
 
+/// Returns an endpoint list as JSON: revision `rev`, complete or (where `all` is false) only what changed.
 pub fn endpoint_list(rev: u32, all: bool, targets: &[String]) -> String {
     format!(
         r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#,
@@ -84,32 +99,36 @@
 }
 
 thread_local! {
-    /// Ids of a test's commands, each a new one.
-    static IDS: Cell<u32> = const { Cell::new(0x9b) };
+    /// The next request id; each thread (so each test) counts by itself.
+    static NEXT_ID: Cell<u32> = const { Cell::new(0x9b) };
 }
 
-pub fn request_comment(group: &str) -> String {
+/// Returns the SQL comment that carries a request's metadata: a new id, `request_class`, tenant `acme`, a deadline of
+/// 60 s, the request key `5c` and replica set 2.
+pub fn request_comment(request_class: &str) -> String {
     format!(
-        "/* id={:x},c={group},t=acme,d=60000,k=5c,cluster=2 */",
-        IDS.replace(IDS.get() + 1)
+        "/* id={:x},c={request_class},t=acme,d=60000,k=5c,cluster=2 */",
+        NEXT_ID.replace(NEXT_ID.get() + 1)
     )
 }
 
-pub fn select(group: &str) -> String {
+/// Returns a read of one record, with the metadata of [`request_comment`].
+pub fn select(request_class: &str) -> String {
     format!(
         "SELECT v FROM records WHERE k = '7f3a' {}",
-        request_comment(group)
+        request_comment(request_class)
     )
 }
 
-pub fn insert(group: &str) -> String {
+/// Returns a write of one record, with the metadata of [`request_comment`].
+pub fn insert(request_class: &str) -> String {
     format!(
         "INSERT INTO records (k, v) VALUES ('7f3a', '\\x9f') RETURNING v {}",
-        request_comment(group)
+        request_comment(request_class)
     )
 }
 
-/// How long the gateway waits, as a server hears it, in milliseconds.
+/// Returns how long the gateway waits for the server's answer, in milliseconds: the field `d` of the statement's comment.
 pub fn deadline_ms(statement: &str) -> u64 {
     statement
         .split(",d=")
@@ -122,6 +141,7 @@
         .unwrap()
 }
 
+/// Returns a Query message with this SQL text.
 pub fn query_message(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put_message(&mut out, b'Q', format!("{text}\0").as_bytes());
