--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,22 +1,26 @@
-//! Owns a client that says what it is told to and prints what it hears.
-//!
-//! It must never send anything again by itself.
+//! A PostgreSQL client that sends what a test gives it and renders the server's messages as text, and the
+//! classification of a complete response. The client never retries by itself.
 
 use std::io::Write;
 use std::net::TcpStream;
 
 use crate::wire::{query_message, read_message};
 
+/// A client's end of a connection.
 pub struct Client {
     pub stream: TcpStream,
 }
 
 impl Client {
+    /// Writes these bytes as they are.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// What comes up to ReadyForQuery, or to the end, in one line.
+    /// Reads messages up to ReadyForQuery or the end of the connection, and renders them in one line: an error as `E`
+    /// with its SQLSTATE (`C...`) and detail (`D...`), a row as `D` with its value, or with its length where the message
+    /// body is longer than 100 bytes, the end of the connection as `end`, any other message as its type byte.
+    /// ParameterStatus and Authentication are left out.
     pub fn read_response(&mut self) -> String {
         let mut out = String::new();
         loop {
@@ -42,15 +46,16 @@
         }
     }
 
+    /// Sends a Query message and returns its response as [`Client::read_response`] renders it.
     pub fn run_statement(&mut self, text: &str) -> String {
         self.send(&query_message(text));
         self.read_response()
     }
 }
 
-/// The detail of the notice before an answer.
-pub fn notice_detail(heard: &[u8]) -> Option<String> {
-    let mut rest = heard;
+/// Returns the detail field of the first NoticeResponse in a response.
+pub fn notice_detail(response: &[u8]) -> Option<String> {
+    let mut rest = response;
     while let Some((tag, body)) = read_message(&mut rest) {
         if tag == b'N' {
             let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&b'D'))?;
@@ -60,9 +65,10 @@
     None
 }
 
-/// What an answer, from its first byte up to ReadyForQuery, is to the client that is owed this value.
-pub fn classify_response(heard: &[u8], owed: &[u8]) -> ResponseOutcome {
-    let mut rest = heard;
+/// Classifies a response, given from its first byte up to ReadyForQuery, for a client that expects `expected` as the
+/// row's value.
+pub fn classify_response(response: &[u8], expected: &[u8]) -> ResponseOutcome {
+    let mut rest = response;
     let mut value = None;
     while let Some((tag, body)) = read_message(&mut rest) {
         match tag {
@@ -84,20 +90,23 @@
             _ => {}
         }
     }
-    if value.as_deref() == Some(owed) {
+    if value.as_deref() == Some(expected) {
         ResponseOutcome::Answered
     } else {
         ResponseOutcome::Wrong
     }
 }
 
-/// What a whole answer is.
+/// Classification of a complete response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseOutcome {
+    /// A row with the expected value.
     Answered,
-    /// A row with a value that was not made for this command.
+    /// A response without an error whose row is missing or holds another value.
     Wrong,
-    /// With the milliseconds to come back in, 0 where none are said.
+    /// SQLSTATE 53300 or 57P03: the request was refused for overload. Holds the milliseconds after which to retry, 0 where
+    /// the error names none.
     Throttled(u64),
+    /// Any other error.
     Failed,
 }
--- a/crates/test-support/src/manual.rs
+++ b/crates/test-support/src/manual.rs
@@ -1,6 +1,5 @@
-//! Owns stand-ins that do nothing by themselves: a server and an agent whose each byte the test gives.
-//!
-//! They must never answer, end or time anything of their own accord.
+//! A database server and a discovery agent that a test drives byte by byte: they accept connections and read requests,
+//! but answer, close and wait only when the test calls for it.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -16,18 +15,21 @@
     target, unix_ms,
 };
 
-/// A server that accepts connections and leaves all else to the test.
+/// A database server that accepts connections; everything else is up to the test.
 pub struct ManualServer {
+    /// Its listening address, `IP:port`.
     pub address: String,
-    comes: Receiver<TcpStream>,
+    connections: Receiver<TcpStream>,
 }
 
 impl ManualServer {
+    /// Starts a server on a free loopback port.
     pub fn new() -> ManualServer {
         ManualServer::with_receive_buffer(None)
     }
 
-    /// One whose connections keep so many bytes unread at most.
+    /// Like `new`, with the kernel's receive buffer of each connection set to `bytes`, so that a peer whose bytes are not
+    /// read has to stop writing soon.
     pub fn with_receive_buffer(bytes: Option<usize>) -> ManualServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         bytes.inspect(|bytes| {
@@ -36,39 +38,46 @@
                 .unwrap();
         });
         let address = listener.local_addr().unwrap().to_string();
-        let (tell, comes) = mpsc::channel();
+        let (connection_tx, connection_rx) = mpsc::channel();
         thread::spawn(move || {
             listener
                 .incoming()
-                .try_for_each(|stream| tell.send(stream.unwrap()))
+                .try_for_each(|stream| connection_tx.send(stream.unwrap()))
         });
-        ManualServer { address, comes }
+        ManualServer {
+            address,
+            connections: connection_rx,
+        }
     }
 
-    /// The next connection that has said that it comes and was told nothing yet; one that ended before is passed over.
+    /// Waits for the next connection that has sent its StartupMessage, and returns it unanswered. A connection that ended
+    /// before is skipped.
     pub fn accept(&self) -> ManualConnection {
         loop {
-            let mut stream = self.comes.recv_timeout(WAIT_LIMIT).expect("a connection");
+            let mut stream = self
+                .connections
+                .recv_timeout(WAIT_LIMIT)
+                .expect("a connection");
             stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-            // Else the system would hold back what is written before the last has been acknowledged.
+            // Nagle's algorithm would hold a write back until the previous one has been acknowledged.
             stream.set_nodelay(true).unwrap();
-            let mut hello = [0; 32];
-            if stream.read_exact(&mut hello).is_ok() {
+            let mut startup = [0; 32];
+            if stream.read_exact(&mut startup).is_ok() {
                 return ManualConnection { stream };
             }
         }
     }
 
-    /// The next connection, up.
+    /// Like [`ManualServer::accept`], and answers the startup with ReadyForQuery.
     pub fn accept_ready(&self) -> ManualConnection {
-        let mut talk = self.accept();
-        talk.try_send_ready();
-        talk
+        let mut connection = self.accept();
+        connection.try_send_ready();
+        connection
     }
 
-    /// Whether one comes within that time.
+    /// Returns whether a connection is made within `span`; it is dropped.
     pub fn connects_within(&self, span: Duration) -> bool {
-        self.comes.recv_timeout(span).is_ok()
+        self.connections.recv_timeout(span).is_ok()
     }
 }
 
@@ -78,39 +87,41 @@
     }
 }
 
-/// A server's end of a connection.
+/// The server's end of a connection.
 pub struct ManualConnection {
     pub stream: TcpStream,
 }
 
 impl ManualConnection {
-    /// Whether it could still be told that it is up.
+    /// Sends AuthenticationOk and ReadyForQuery; returns whether the write succeeded.
     pub fn try_send_ready(&mut self) -> bool {
         self.stream
             .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
             .is_ok()
     }
 
-    /// The next statement; none where the connection ends first.
+    /// Waits for the next statement; `None` where the connection ends first.
     pub fn read_statement(&mut self) -> Option<String> {
         let (_, body) = read_message(&mut self.stream)?;
         Some(String::from_utf8_lossy(&body[..body.len() - 1]).into_owned())
     }
 
-    /// Answers the next statement, which it returns.
+    /// Waits for the next statement, answers it as [`ManualConnection::respond`] does, and returns it.
     pub fn answer_next(&mut self, value: &str, mode: &str) -> String {
         let statement = self.read_statement().unwrap();
         self.respond(&statement, value, mode);
         statement
     }
 
+    /// Answers `statement` with a row of this value, the role `mode` (`read-write` or `read-only`), the current time as
+    /// replication position, and ReadyForQuery.
     pub fn respond(&mut self, statement: &str, value: &str, mode: &str) {
-        let done = if statement.starts_with("INSERT") {
+        let command_tag = if statement.starts_with("INSERT") {
             WRITE_TAG
         } else {
             READ_TAG
         };
-        let mut out = row_messages(value, done);
+        let mut out = row_messages(value, command_tag);
         put_message(&mut out, b'S', format!("mode\0{mode}\0").as_bytes());
         put_message(
             &mut out,
@@ -121,7 +132,7 @@
         self.stream.write_all(&out).unwrap();
     }
 
-    /// Ends without waiting for anything: the other side is reset.
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
@@ -129,26 +140,29 @@
     }
 }
 
-/// An agent that answers nothing by itself.
+/// A discovery agent that leaves every answer to the test.
 pub struct ManualAgent {
+    /// Its listening address, `IP:port`.
     pub address: String,
-    asks: Receiver<AgentRequest>,
+    requests: Receiver<AgentRequest>,
 }
 
-/// One ask, and where its answer goes.
+/// A request to the agent, and the connection on which to answer it.
 pub struct AgentRequest {
+    /// `GET ... HTTP/1.1`.
     pub request_line: String,
     stream: TcpStream,
 }
 
 impl ManualAgent {
+    /// Starts an agent on a free loopback port.
     pub fn new() -> ManualAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let (tell, asks) = mpsc::channel();
+        let (request_tx, request_rx) = mpsc::channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (tell, stream) = (tell.clone(), stream.unwrap());
+                let (request_tx, stream) = (request_tx.clone(), stream.unwrap());
                 thread::spawn(move || {
                     let mut lines = BufReader::new(stream.try_clone().unwrap())
                         .lines()
@@ -158,7 +172,7 @@
                             .by_ref()
                             .take_while(|line| !line.is_empty())
                             .for_each(drop);
-                        let _ = tell.send(AgentRequest {
+                        let _ = request_tx.send(AgentRequest {
                             request_line: line,
                             stream: stream.try_clone().unwrap(),
                         });
@@ -166,10 +180,13 @@
                 });
             }
         });
-        ManualAgent { address, asks }
+        ManualAgent {
+            address,
+            requests: request_rx,
+        }
     }
 
-    /// As a gateway's own agent, which says nothing and tells of no ask.
+    /// Returns an [`Agent`] of this address for [`crate::gateway::start`]; both its channels are closed.
     pub fn as_agent(&self) -> Agent {
         Agent {
             address: self.address.clone(),
@@ -178,8 +195,11 @@
         }
     }
 
+    /// Waits for the next request on any connection.
     pub fn next_request(&self) -> AgentRequest {
-        self.asks.recv_timeout(WAIT_LIMIT).expect("an ask")
+        self.requests
+            .recv_timeout(WAIT_LIMIT)
+            .expect("a request to the agent")
     }
 }
 
@@ -190,24 +210,26 @@
 }
 
 impl AgentRequest {
+    /// Writes a part of the response or all of it.
     pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Says this byte again and again, until the other side has closed.
+    /// Writes this byte every millisecond until the peer has closed the connection.
     pub fn send_until_closed(mut self, byte: u8) {
         while self.stream.write_all(&[byte]).is_ok() {
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Says that nothing more comes.
+    /// Shuts the connection's write side down, which the peer reads as the end of the response.
     pub fn shut_down_write(self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
 
+    /// Closes the connection with a TCP reset.
     pub fn reset(self) {
-        // The connection's reader has the same socket, so closing this handle alone would tell nobody.
+        // The thread that reads requests holds the same socket, so dropping this handle alone would not close it.
         SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
             .unwrap();
@@ -215,7 +237,7 @@
     }
 }
 
-/// A list of these servers: name, address, state, mode.
+/// Returns a complete endpoint list of these servers, each given as uid, address, state and mode.
 pub fn full_endpoint_list(revision: u32, servers: &[(&str, &str, &str, &str)]) -> String {
     let targets: Vec<_> = servers
         .iter()
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/relay.rs
@@ -1,6 +1,7 @@
-//! Owns the way between two processes of a fleet: it carries whole frames, and does to each what it is told to.
+//! A TCP relay between two processes of a fleet that injects faults into whole frames: partition, loss, duplication,
+//! reordering, corruption and delay.
 //!
-//! It must never look into a frame, or know who is right: a frame is a length of four bytes and what follows.
+//! A frame is a big-endian length of four bytes and as many bytes of payload. The relay doesn't interpret the payload.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,113 +11,129 @@
 
 use fastrand::Rng;
 
-/// What is done to frames in one direction; parts of all frames, from 0 to 1.
+/// Faults injected into the frames of one direction. The rates are shares of all frames, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Nothing comes through, and nothing says so.
+    /// Drops every frame; the connection stays open.
     pub partitioned: bool,
+    /// Rate of frames that are dropped.
     pub loss: f64,
+    /// Rate of frames that are sent twice.
     pub duplication: f64,
-    /// Goes out behind the next one.
+    /// Rate of frames that are sent after the next one.
     pub reorder: f64,
-    /// A bit of it is another.
+    /// Rate of frames in which one bit of the payload is flipped.
     pub corruption: f64,
-    /// Each is held for so long.
+    /// Time for which each frame is held back.
     pub delay: Duration,
 }
 
-/// One direction between two processes, over whichever connection it goes.
+/// Shared handle to the faults of one direction between two processes. They apply to all its connections, open ones
+/// included.
 #[derive(Clone, Default)]
 pub struct LinkDirection(Arc<Mutex<LinkFaults>>);
 
 impl LinkDirection {
-    pub fn set(&self, trouble: LinkFaults) {
-        *self.0.lock().unwrap() = trouble;
+    /// Replaces the faults, also for a frame that is held back just now.
+    pub fn set(&self, faults: LinkFaults) {
+        *self.0.lock().unwrap() = faults;
     }
 
+    /// Returns the faults that apply now.
     pub fn get(&self) -> LinkFaults {
         *self.0.lock().unwrap()
     }
 }
 
-/// Longer than any frame of the link.
-const LONGEST: usize = 1 << 20;
-/// More than this is not waited for by a direction that was held.
-const WAITS: Duration = Duration::from_secs(30);
+/// Longer than any frame of the gateways' peer protocol. A longer one ends the connection.
+const MAX_PAYLOAD_BYTES: usize = 1 << 20;
+/// Upper bound of `LinkFaults::delay`: a frame is not held back for longer.
+const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// Accepts for the process at `to`, whose address may change; `forth` and `back` are the directions.
+/// Starts a relay on a free loopback port and returns its address. Each accepted connection is forwarded to the address
+/// that `target` holds at that moment. `forward` are the faults towards the target, `backward` those of the way back.
+/// `seed` determines the random choices of all its connections.
 pub fn start_relay(
-    to: Arc<Mutex<SocketAddr>>,
-    forth: LinkDirection,
-    back: LinkDirection,
+    target: Arc<Mutex<SocketAddr>>,
+    forward: LinkDirection,
+    backward: LinkDirection,
     seed: u64,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
-        let mut chance = Rng::with_seed(seed);
+        let mut random = Rng::with_seed(seed);
         for stream in listener.incoming().map_while(Result::ok) {
-            let at = *to.lock().unwrap();
-            let Ok(other) = TcpStream::connect_timeout(&at, Duration::from_secs(2)) else {
+            let target_address = *target.lock().unwrap();
+            let Ok(target_stream) =
+                TcpStream::connect_timeout(&target_address, Duration::from_secs(2))
+            else {
                 continue;
             };
-            let both = [(&stream, &other, &forth), (&other, &stream, &back)];
-            for (from, to, way) in both {
+            let directions = [
+                (&stream, &target_stream, &forward),
+                (&target_stream, &stream, &backward),
+            ];
+            for (from, to, direction) in directions {
                 let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
                     continue;
                 };
-                let (way, seed) = (way.clone(), chance.u64(..));
-                let carry = move || {
-                    let _ = carry(&from, &to, &way, Rng::with_seed(seed));
+                let (direction, seed) = (direction.clone(), random.u64(..));
+                let forward_all = move || {
+                    let _ = forward_frames(&from, &to, &direction, Rng::with_seed(seed));
                     let _ = from.shutdown(std::net::Shutdown::Both);
                     let _ = to.shutdown(std::net::Shutdown::Both);
                 };
-                let _ = thread::Builder::new().stack_size(128 << 10).spawn(carry);
+                let _ = thread::Builder::new()
+                    .stack_size(128 << 10)
+                    .spawn(forward_all);
             }
         }
     });
     address
 }
 
-fn carry(
+/// Forwards frames of one connection in one direction until either side closes it or a frame is longer
+/// than [`MAX_PAYLOAD_BYTES`].
+fn forward_frames(
     mut from: &TcpStream,
     mut to: &TcpStream,
-    way: &LinkDirection,
-    mut chance: Rng,
+    direction: &LinkDirection,
+    mut random: Rng,
 ) -> Option<()> {
     let _ = to.set_nodelay(true);
-    let mut behind: Option<Vec<u8>> = None;
+    let mut postponed: Option<Vec<u8>> = None;
     loop {
-        let mut head = [0; 4];
-        from.read_exact(&mut head).ok()?;
-        let length = u32::from_be_bytes(head) as usize;
-        if length > LONGEST {
+        let mut header = [0; 4];
+        from.read_exact(&mut header).ok()?;
+        let payload_bytes = u32::from_be_bytes(header) as usize;
+        if payload_bytes > MAX_PAYLOAD_BYTES {
             return None;
         }
-        let mut frame = vec![0; 4 + length];
-        frame[..4].copy_from_slice(&head);
+        let mut frame = vec![0; 4 + payload_bytes];
+        frame[..4].copy_from_slice(&header);
         from.read_exact(&mut frame[4..]).ok()?;
-        let came = Instant::now();
-        while came.elapsed() < way.get().delay.min(WAITS) {
+        let received_at = Instant::now();
+        while received_at.elapsed() < direction.get().delay.min(MAX_DELAY) {
             sleep(Duration::from_millis(5));
         }
-        let trouble = way.get();
-        if trouble.partitioned || chance.f64() < trouble.loss {
+        let faults = direction.get();
+        if faults.partitioned || random.f64() < faults.loss {
             continue;
         }
-        if chance.f64() < trouble.corruption && length > 0 {
-            let at = 4 + chance.usize(..length);
-            frame[at] ^= 1 << chance.u8(..8);
+        if random.f64() < faults.corruption && payload_bytes > 0 {
+            let position = 4 + random.usize(..payload_bytes);
+            frame[position] ^= 1 << random.u8(..8);
         }
-        if behind.is_none() && chance.f64() < trouble.reorder {
-            behind = Some(frame);
+        if postponed.is_none() && random.f64() < faults.reorder {
+            postponed = Some(frame);
             continue;
         }
         to.write_all(&frame).ok()?;
-        if chance.f64() < trouble.duplication {
+        if random.f64() < faults.duplication {
             to.write_all(&frame).ok()?;
         }
-        if let Some(frame) = behind.take() {
+        if let Some(frame) = postponed.take() {
             to.write_all(&frame).ok()?;
         }
     }
--- a/crates/test-support/src/server.rs
+++ b/crates/test-support/src/server.rs
@@ -1,6 +1,5 @@
-//! Owns a database server that does as it is told, statement by statement.
-//!
-//! It must never decide what it does by what a statement says.
+//! A database server that carries out a script, one action for each statement, whatever the statement says (only the
+//! command tag of a row follows from it).
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -14,55 +13,62 @@
     READ_TAG, WAIT_LIMIT, WRITE_TAG, put_message, read_message, row_messages, unix_ms,
 };
 
-/// What a stand-in server does with a statement.
+/// What a test server does with a statement.
 #[derive(Clone)]
 pub enum ServerAction {
-    /// Answers with a row of this value, then says its role and position.
+    /// Answers with a row of this value, followed by the server's role, replication position and ReadyForQuery.
     Row(String),
-    /// The same with these bytes right behind it.
+    /// Like `Row`, with these bytes appended to the same write.
     RowThenBytes(String, Vec<u8>),
+    /// Answers with an error of this SQLSTATE, followed by role, position and ReadyForQuery.
     ErrorCode(&'static str),
-    /// Says nothing more until the other side closes; then tells the test so.
+    /// Sends nothing until the peer closes the connection or sends a byte; then reports `closed` to
+    /// [`Server::statements`].
     NoResponse,
-    /// Ends the connection without a word.
+    /// Closes the connection without an answer.
     Disconnect,
-    /// Sends these bytes, then ends the connection.
+    /// Sends these bytes, then closes the connection.
     BytesThenDisconnect(Vec<u8>),
-    /// A row, written at this pace.
+    /// Like `Row`, written at this pace.
     PacedRow(String, Pace),
-    /// Waits for the test's word, then answers with a row.
+    /// Waits for a signal of the test, then answers like `Row`.
     RowOnSignal(Arc<Mutex<Receiver<()>>>, String),
 }
 
-/// A database server that does the next of what it was told for each statement, the last again and again.
+/// A running database server. All its connections share one script; its last action is repeated without end.
 pub struct Server {
+    /// Its listening address, `IP:port`.
     pub address: String,
+    /// Statements in order of arrival, and `closed` for each end of a connection that [`ServerAction::NoResponse`] waited
+    /// for.
     pub statements: Receiver<String>,
 }
 
-pub fn start_server(mode: &str, does: Vec<ServerAction>) -> Server {
+/// Starts a server on a free loopback port with this script. `mode` is the role that it reports (`read-write` or
+/// `read-only`); with `no more connections` it refuses each connection with SQLSTATE 53300.
+pub fn start_server(mode: &str, script: Vec<ServerAction>) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let (tell, heard) = mpsc::channel();
-    let does = Arc::new(Mutex::new(VecDeque::from(does)));
+    let (statement_tx, statement_rx) = mpsc::channel();
+    let script = Arc::new(Mutex::new(VecDeque::from(script)));
     let mode = mode.to_owned();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let (tell, does, mode) = (tell.clone(), does.clone(), mode.clone());
-            thread::spawn(move || serve(stream.unwrap(), &mode, &tell, &does));
+            let (statement_tx, script, mode) = (statement_tx.clone(), script.clone(), mode.clone());
+            thread::spawn(move || serve(stream.unwrap(), &mode, &statement_tx, &script));
         }
     });
     Server {
         address,
-        statements: heard,
+        statements: statement_rx,
     }
 }
 
 fn serve(
     mut stream: TcpStream,
     mode: &str,
-    tell: &Sender<String>,
-    does: &Mutex<VecDeque<ServerAction>>,
+    statement_tx: &Sender<String>,
+    script: &Mutex<VecDeque<ServerAction>>,
 ) -> Option<()> {
     let mut head = [0; 4];
     stream.read_exact(&mut head).ok()?;
@@ -76,28 +82,31 @@
     stream.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").ok()?;
     loop {
         let (_, body) = read_message(&mut stream)?;
-        tell.send(String::from_utf8_lossy(&body[..body.len() - 1]).into_owned())
+        statement_tx
+            .send(String::from_utf8_lossy(&body[..body.len() - 1]).into_owned())
             .ok()?;
-        let next = {
-            let mut does = does.lock().unwrap();
-            if does.len() > 1 {
-                does.pop_front()?
+        let action = {
+            let mut script = script.lock().unwrap();
+            if script.len() > 1 {
+                script.pop_front()?
             } else {
-                does.front()?.clone()
+                script.front()?.clone()
             }
         };
-        let (mut out, mut more) = (Vec::new(), Vec::new());
+        let (mut out, mut trailing) = (Vec::new(), Vec::new());
         let mut pace = Pace::Whole;
-        let done = if body.starts_with(b"INSERT") {
+        let command_tag = if body.starts_with(b"INSERT") {
             WRITE_TAG
         } else {
             READ_TAG
         };
-        match next {
-            ServerAction::Row(value) => out = row_messages(&value, done),
-            ServerAction::PacedRow(value, at) => (out, pace) = (row_messages(&value, done), at),
+        match action {
+            ServerAction::Row(value) => out = row_messages(&value, command_tag),
+            ServerAction::PacedRow(value, new_pace) => {
+                (out, pace) = (row_messages(&value, command_tag), new_pace)
+            }
             ServerAction::RowThenBytes(value, bytes) => {
-                (out, more) = (row_messages(&value, done), bytes)
+                (out, trailing) = (row_messages(&value, command_tag), bytes)
             }
             ServerAction::ErrorCode(code) => put_message(
                 &mut out,
@@ -106,17 +115,17 @@
             ),
             ServerAction::NoResponse => {
                 let _ = stream.read(&mut [0; 1]);
-                return tell.send("closed".into()).ok();
+                return statement_tx.send("closed".into()).ok();
             }
             ServerAction::Disconnect => return None,
             ServerAction::BytesThenDisconnect(bytes) => return stream.write_all(&bytes).ok(),
-            ServerAction::RowOnSignal(word, value) => {
-                word.lock().unwrap().recv().ok()?;
-                out = row_messages(&value, done);
+            ServerAction::RowOnSignal(signal, value) => {
+                signal.lock().unwrap().recv().ok()?;
+                out = row_messages(&value, command_tag);
             }
         }
-        let ends = out.len();
-        // Role and position come behind the row, one at a time.
+        let row_end = out.len();
+        // Role and position follow the row, each in a ParameterStatus message of its own.
         put_message(&mut out, b'S', format!("mode\0{mode}\0").as_bytes());
         put_message(
             &mut out,
@@ -124,35 +133,37 @@
             format!("wal_time\0{}\0", unix_ms()).as_bytes(),
         );
         put_message(&mut out, b'Z', b"I");
-        out.extend(more);
-        write_paced(&mut stream, &out, ends, pace).ok()?;
+        out.extend(trailing);
+        write_paced(&mut stream, &out, row_end, pace).ok()?;
     }
 }
 
-/// The statement that a server heard, with the gateway's own wait left out.
+/// Waits for the next statement that the server has received and returns it with the value of the comment's field `d`
+/// (how long the gateway waits, which differs from run to run) replaced by `*`.
 pub fn next_statement(server: &Server) -> String {
     let text = server
         .statements
         .recv_timeout(WAIT_LIMIT)
-        .expect("a statement");
-    let Some((front, back)) = text.split_once(",d=") else {
+        .expect("a statement within the time limit");
+    let Some((before, after)) = text.split_once(",d=") else {
         return text;
     };
     format!(
-        "{front},d=*{}",
-        back.trim_start_matches(|c: char| c.is_ascii_digit())
+        "{before},d=*{}",
+        after.trim_start_matches(|c: char| c.is_ascii_digit())
     )
 }
 
-/// What waits for the test's word, and how to give it.
+/// Returns an action that answers with a row once the test has sent a signal, and the sender of that signal.
 pub fn row_on_signal(value: &str) -> (Sender<()>, ServerAction) {
-    let (go, word) = mpsc::channel();
+    let (signal_tx, signal_rx) = mpsc::channel();
     (
-        go,
-        ServerAction::RowOnSignal(Arc::new(Mutex::new(word)), value.into()),
+        signal_tx,
+        ServerAction::RowOnSignal(Arc::new(Mutex::new(signal_rx)), value.into()),
     )
 }
 
+/// Returns a script that answers each statement with a row of this value.
 pub fn always_row(value: &str) -> Vec<ServerAction> {
     vec![ServerAction::Row(value.into())]
 }
