--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -1,6 +1,6 @@
-//! Owns the real program as a test or an experiment starts it: its configuration, its log and its end.
+//! Runs the gateway program as a child process: writes its configuration, reads its log and stops it.
 //!
-//! It must never read the program's state but by what it prints.
+//! The program's state is known only from what it prints.
 
 use std::cell::RefCell;
 use std::fs::File;
@@ -19,71 +19,82 @@
 use crate::server::Server;
 use crate::wire::{STARTUP_MESSAGE, WAIT_LIMIT, endpoint_list, http_ok, target, unix_ms};
 
+/// A running gateway process. Dropping it sends SIGKILL and removes its configuration file.
 pub struct Gateway {
+    /// The process.
     pub child: Child,
+    /// Its JSON configuration file, in the system's temporary directory.
     pub config_path: PathBuf,
+    /// The address at which it accepts clients, `IP:port`.
     pub address: String,
+    /// Log lines that have not been read yet.
     pub log: Receiver<String>,
-    /// Lines of the log that were passed over or found.
+    /// Log lines that [`Gateway::wait_for_log`] has read, in order.
     pub log_lines: RefCell<Vec<String>>,
+    /// Its discovery agent.
     pub agent: Agent,
 }
 
-static STARTED: AtomicU32 = AtomicU32::new(0);
+/// How many addresses [`free_address`] has returned.
+static ADDRESS_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// Held while a socket is open that nobody else may inherit, and while a process is begun: between fork and exec a child
-/// has a copy of each descriptor of all threads, and a port that was tried a moment ago would still be listened on.
-static BEGINNING: Mutex<()> = Mutex::new(());
+/// Held while a child process is spawned, and while a socket is open that no child may inherit: between fork and exec a
+/// child has a copy of each descriptor of all threads, so a port that was probed a moment ago would still be listened on.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-fn beginning() -> MutexGuard<'static, ()> {
-    BEGINNING.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock_spawning() -> MutexGuard<'static, ()> {
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Begins a process; it has become that program once this returns.
+/// Starts a child process; its exec has completed once this returns.
 pub fn spawn_process(command: &mut Command) -> Child {
-    let _held = beginning();
+    let _guard = lock_spawning();
     command.spawn().unwrap()
 }
 
-/// An address of its own: a free port of a loopback address that no other test has.
+/// Returns a free port of a loopback address that no other test uses. The address follows from the process id and from the
+/// number of calls before this one.
 pub fn free_address() -> String {
-    let nth = STARTED.fetch_add(1, Ordering::Relaxed);
-    let (block, last) = (7 + nth / 250 % 100, nth % 250 + 1);
-    let _held = beginning();
-    let free = TcpListener::bind(format!("127.{block}.{}.{last}:0", std::process::id() % 250));
-    free.unwrap().local_addr().unwrap().to_string()
+    let call_number = ADDRESS_COUNT.fetch_add(1, Ordering::Relaxed);
+    let (block, last) = (7 + call_number / 250 % 100, call_number % 250 + 1);
+    let _guard = lock_spawning();
+    let listener = TcpListener::bind(format!("127.{block}.{}.{last}:0", std::process::id() % 250));
+    listener.unwrap().local_addr().unwrap().to_string()
 }
 
-pub fn config(address: &str, agent: &str, known: &str, settings: &str) -> String {
+/// Returns a configuration as JSON for a gateway named `n0`, with limits of one core, 192 MiB and 1024 descriptors.
+/// `agent` is the discovery agent's address, `known_list` the endpoint list known at the start and `settings` the settings,
+/// both as JSON.
+pub fn config(address: &str, agent: &str, known_list: &str, settings: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{address}","discovery":"{agent}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{settings}}}"#
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known_list},"settings":{settings}}}"#
     )
 }
 
-/// A gateway of this program that has these servers on its list, in this memory (MiB) and with so many
-/// descriptors; `words` go behind `serve`.
+/// Starts `program` with an endpoint list of these servers, each with its mode (`read-write` or `read-only`). `limits` are
+/// the memory in MiB and the number of descriptors; `args` follow the sub-command `serve`.
 pub fn start_with_servers(
     program: &Path,
     servers: &[(&Server, &str)],
     settings: &str,
     limits: (usize, usize),
-    words: &[&str],
+    args: &[&str],
 ) -> Gateway {
     let servers: Vec<_> = servers
         .iter()
         .map(|(s, mode)| (s.address.as_str(), *mode))
         .collect();
-    start_with_addresses(program, &servers, settings, limits, words)
+    start_with_addresses(program, &servers, settings, limits, args)
 }
 
-/// The same, by the servers' addresses.
+/// Like [`start_with_servers`], with the servers given by address.
 pub fn start_with_addresses(
     program: &Path,
     servers: &[(&str, &str)],
     settings: &str,
     limits: (usize, usize),
-    words: &[&str],
+    args: &[&str],
 ) -> Gateway {
     let agent = start_agent();
     let targets: Vec<_> = servers
@@ -105,9 +116,10 @@
         address,
         agent,
         program,
-        words,
+        args,
     );
-    // The first ask is answered with the list that is held already; what follows is the test's.
+    // The first request is answered with the list that the gateway knows already. Once the second has come, the gateway
+    // has read that answer; the second and later requests are left to the test.
     gateway
         .agent
         .responses
@@ -118,41 +130,45 @@
     gateway
 }
 
-/// Names a folder in which the log of every process is kept, each line with the time at which it came.
-const LOG_FOLDER: &str = "LEVERPOINT_TEST_LOGS";
+/// Environment variable that names a directory in which the log of each process is kept, every line after the time in Unix
+/// milliseconds at which it was read.
+const LOG_DIR_VARIABLE: &str = "LEVERPOINT_TEST_LOGS";
 
-fn log_copy(name: &str, process: u32) -> Option<File> {
-    let folder = std::env::var_os(LOG_FOLDER).filter(|folder| !folder.is_empty())?;
-    let path = Path::new(&folder).join(format!("{name}-{process}.log"));
+/// Creates the copy of a process's log, where [`LOG_DIR_VARIABLE`] is set.
+fn create_log_copy(name: &str, process: u32) -> Option<File> {
+    let directory = std::env::var_os(LOG_DIR_VARIABLE).filter(|directory| !directory.is_empty())?;
+    let path = Path::new(&directory).join(format!("{name}-{process}.log"));
     Some(File::create(path).unwrap())
 }
 
-/// The program with this configuration, once it serves.
-pub fn start(text: &str, address: String, agent: Agent, program: &Path, words: &[&str]) -> Gateway {
+/// Starts `program` with the configuration `text` and returns once it has logged that it serves. `args` follow the
+/// sub-command `serve`.
+pub fn start(text: &str, address: String, agent: Agent, program: &Path, args: &[&str]) -> Gateway {
     let name = address.replace([':', '.'], "-");
-    let file = std::env::temp_dir().join(format!("leverpoint-{}-{name}.json", std::process::id()));
-    std::fs::write(&file, text).unwrap();
+    let config_path =
+        std::env::temp_dir().join(format!("leverpoint-{}-{name}.json", std::process::id()));
+    std::fs::write(&config_path, text).unwrap();
     let mut command = Command::new(program);
     command
         .arg("serve")
-        .args(words)
-        .env("NODE_CONFIG", &file)
+        .args(args)
+        .env("NODE_CONFIG", &config_path)
         .env("NODE_DISCOVERY", &agent.address);
     let mut child = spawn_process(command.stderr(Stdio::piped()));
-    let (tell, log) = mpsc::channel();
+    let (log_tx, log) = mpsc::channel();
     let stderr = BufReader::new(child.stderr.take().unwrap());
-    let mut copy = log_copy(&name, child.id());
+    let mut copy = create_log_copy(&name, child.id());
     thread::spawn(move || {
         for line in stderr.lines().map_while(Result::ok) {
             if let Some(copy) = &mut copy {
                 writeln!(copy, "{} {line}", unix_ms()).unwrap();
             }
-            drop(tell.send(line));
+            drop(log_tx.send(line));
         }
     });
     let gateway = Gateway {
         child,
-        config_path: file,
+        config_path: config_path,
         address,
         log,
         log_lines: RefCell::default(),
@@ -162,7 +178,7 @@
     gateway
 }
 
-/// Runs a process to its end, and what it has written.
+/// Runs a process until it exits and returns its exit status, stdout and stderr.
 pub fn output(command: &mut Command) -> Output {
     spawn_process(
         command
@@ -174,23 +190,24 @@
     .unwrap()
 }
 
-/// What a line of name=count says of a name; a value may stand in quotes.
+/// Returns the value of `name` in a line of `name=value` pairs. A value may be quoted.
 pub fn counter_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
-    let mut words = line.split([' ', '"']);
-    let value = words.find_map(|word| word.strip_prefix(name)?.strip_prefix('='))?;
+    let mut pieces = line.split([' ', '"']);
+    let value = pieces.find_map(|piece| piece.strip_prefix(name)?.strip_prefix('='))?;
     if value.is_empty() {
-        words.next()
+        pieces.next()
     } else {
         Some(value)
     }
 }
 
 impl Gateway {
+    /// Reads log lines until one contains `what`, and returns it. Panics where none comes for [`WAIT_LIMIT`].
     pub fn wait_for_log(&self, what: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(WAIT_LIMIT).unwrap_or_else(|end| {
+            let line = self.log.recv_timeout(WAIT_LIMIT).unwrap_or_else(|error| {
                 panic!(
-                    "{what}: {end}; the program has said {:?}",
+                    "{what}: {error}; log lines read: {:?}",
                     self.log_lines.borrow()
                 )
             });
@@ -201,18 +218,20 @@
         }
     }
 
+    /// Has the process log its counters (SIGUSR1) and returns that line.
     pub fn counters(&self) -> String {
         self.signal("-USR1");
         self.wait_for_log("event=\"counters\"")
     }
 
+    /// Sends a signal, given as an option of `kill(1)`, e.g. `-TERM`.
     pub fn signal(&self, name: &str) {
         spawn_process(Command::new("kill").args([name, &self.child.id().to_string()]))
             .wait()
             .unwrap();
     }
 
-    /// Stops it where it stands, until it is told to go on; returns once it has stopped.
+    /// Suspends the process with SIGSTOP and returns once it is stopped; SIGCONT resumes it.
     pub fn pause(&self) {
         self.signal("-STOP");
         let status = format!("/proc/{}/status", self.child.id());
@@ -224,19 +243,20 @@
         }
     }
 
-    /// Waits until the counters say so.
+    /// Polls the counters until they contain `what`, a `name=value` pair. Panics after [`WAIT_LIMIT`].
     pub fn wait_for_counter(&self, what: &str) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let counters = self.counters();
             if counters.contains(&format!(" {what} ")) {
                 return;
             }
-            assert!(began.elapsed() < WAIT_LIMIT, "{what}: {counters}");
+            assert!(started_at.elapsed() < WAIT_LIMIT, "{what}: {counters}");
         }
     }
 
-    /// Ends it in order and returns what its counters say of these names.
+    /// Sends SIGTERM, waits for a successful exit and returns these counters of the last log line as `name=value` pairs,
+    /// `?` for a counter that is missing.
     pub fn shut_down(mut self, names: &[&str]) -> String {
         self.signal("-TERM");
         let line = self.wait_for_log("event=\"counters\"");
@@ -247,8 +267,8 @@
             .collect()
     }
 
-    /// Ends it in order and returns what it says of its peers.
-    /// An older gateway says nothing of them: then its counters.
+    /// Sends SIGTERM, waits for the exit and returns the log line of the peers' counters, or that of the general counters
+    /// for an `older` program, which logs no peers.
     pub fn shut_down_for_peers_line(&mut self, older: bool) -> String {
         self.signal("-TERM");
         let line = self.wait_for_log(if older {
@@ -260,13 +280,14 @@
         line
     }
 
-    /// A connection that has said nothing yet.
+    /// Opens a connection to the gateway without sending anything. Reads time out after [`WAIT_LIMIT`].
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(&self.address).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream
     }
 
+    /// Opens a connection and completes the startup.
     pub fn connect_client(&self) -> Client {
         let mut stream = self.connect();
         stream.write_all(STARTUP_MESSAGE).unwrap();
--- a/crates/test-support/src/manual.rs
+++ b/crates/test-support/src/manual.rs
@@ -57,7 +57,7 @@
             let mut stream = self
                 .connections
                 .recv_timeout(WAIT_LIMIT)
-                .expect("a connection");
+                .expect("a connection within the time limit");
             stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
             // Nagle's algorithm would hold a write back until the previous one has been acknowledged.
             stream.set_nodelay(true).unwrap();
