--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -90,7 +90,7 @@
         processes: 5,
         founders: 3,
         heartbeat_ms: 100,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: true,
         zones: 2,
         members: true,
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -38,7 +38,7 @@
         processes: 5,
         founders: 3,
         heartbeat_ms: beat_ms,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: true,
         zones: 2,
         members: true,
@@ -81,12 +81,12 @@
 #[test]
 fn a_killed_member_is_dead_for_all_and_returns_with_or_without_its_memory() {
     let mut stage = five();
-    let memory = stage.observed(4).memory.clone();
+    let memory = stage.observed(4).storage_id.clone();
     stage.kill(4);
     gone_for(&mut stage, &[0, 1, 2, 3], 4);
     stage.start(4);
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.observed(4).memory, memory);
+    assert_eq!(stage.observed(4).storage_id, memory);
     assert_eq!(
         stage.observed(0).layout_version,
         3,
@@ -96,7 +96,7 @@
     stage.kill_and_erase(4);
     stage.start(4);
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
-    assert_ne!(stage.observed(4).memory, memory);
+    assert_ne!(stage.observed(4).storage_id, memory);
     assert_eq!(stage.observed(4).holder_count, 5);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
@@ -292,7 +292,7 @@
         processes: 2,
         founders: 0,
         heartbeat_ms: 100,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: false,
         zones: 1,
         members: false,
--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -274,7 +274,7 @@
         processes: 3,
         founders: 3,
         heartbeat_ms: 100,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: true,
         zones: 1,
         members: true,
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/copies.rs
@@ -76,7 +76,7 @@
         processes: PROCESSES,
         founders: PROCESSES,
         heartbeat_ms: 50,
-        settle_ms: Some(50),
+        join_delay_ms: Some(50),
         disk: true,
         zones: 2,
         members: true,
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/members.rs
@@ -74,7 +74,7 @@
         processes,
         founders: processes.min(3),
         heartbeat_ms: beat_ms,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: true,
         zones: 3,
         members,
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -26,7 +26,7 @@
     pub founders: usize,
     pub heartbeat_ms: u64,
     /// How long one is seen before it is proposed; the usual time where it is absent.
-    pub settle_ms: Option<u64>,
+    pub join_delay_ms: Option<u64>,
     /// Whether they keep what they hold on a disk.
     pub disk: bool,
     /// Processes stand in so many zones in turn.
@@ -54,7 +54,7 @@
     /// Words of others' lives that had ended before, by its own earlier word.
     pub stale_statuses: u64,
     pub incarnation: u64,
-    pub memory: String,
+    pub storage_id: String,
     /// By name: life, and how it is seen.
     pub statuses: BTreeMap<String, (u64, String)>,
 }
@@ -65,7 +65,7 @@
         match line["msg"].as_str().unwrap_or_default() {
             "member admitted" => self.admitted = true,
             "member started" if line["life"].is_u64() => {
-                (self.incarnation, self.memory) =
+                (self.incarnation, self.storage_id) =
                     (line["life"].as_u64().unwrap_or(0), text("memory"));
                 self.layout_version = line["layout"].as_u64().unwrap_or(0);
             }
@@ -218,7 +218,7 @@
         let disk = format!("  disk = \"{}\"\n", place.folder.display());
         let settles = self
             .build
-            .settle_ms
+            .join_delay_ms
             .map_or(String::new(), |ms| format!("  settles = \"{ms}ms\"\n"));
         format!(
             "members {{\n  listen = \"{}\"\n  fleet = \"stage\"\n  beat = \"{}ms\"\n  zone = \"z{}\"\n  seeds = [{}]\n  \
