--- a/crates/test-support/src/gateway.rs
+++ b/crates/test-support/src/gateway.rs
@@ -168,7 +168,7 @@
     });
     let gateway = Gateway {
         child,
-        config_path: config_path,
+        config_path,
         address,
         log,
         log_lines: RefCell::default(),
