--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,8 +1,8 @@
-//! A discovery service of fixed capacity, shared by several gateways, each at an address of its own.
+//! A discovery service of fixed capacity that several gateways share, each at an address of its own.
 //!
 //! Written from the published protocol: new calls wait in one queue, a call that would wait too long is refused with 503,
-//! refusing costs something too, and a call whose caller has gone is worked off all the same. A watch that continues
-//! within 200 ms of its last answer costs nothing. It never judges a caller; it records what it has written to whom.
+//! refusing takes capacity too, and a call whose caller has disconnected is worked off all the same. A watch that continues
+//! within 200 ms of its last answer costs nothing. The service records what it has written to which gateway.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,25 +12,28 @@
 
 use crate::wire::{endpoint_list, http_ok};
 
-/// The next call of a watch continues it when it comes this soon after the last answer.
+/// A watch's next call continues the watch, and costs nothing, when it comes within this time of the last answer.
 const WATCH_CONTINUES: Duration = Duration::from_millis(200);
 
-/// What calls cost, and how long one may wait in the queue before it is refused instead.
+/// Capacity of the service, which works on one call at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
+    /// Time that a call takes.
     pub call_cost: Duration,
+    /// Time that a refusal takes.
     pub refusal_cost: Duration,
+    /// A call that would wait longer than this in the queue is refused.
     pub max_queue_wait: Duration,
 }
 
-/// One gateway's dealings with the service.
+/// The calls and answers of one gateway.
 #[derive(Clone, Debug, Default)]
 struct Caller {
     calls: usize,
     refusals: usize,
     last_answer: Option<Instant>,
-    /// Revision written last and when that revision was written first.
-    told: Option<(u32, Instant)>,
+    /// The newest revision written to the gateway, and when it was written first.
+    written: Option<(u32, Instant)>,
 }
 
 struct State {
@@ -42,19 +45,22 @@
     callers: Vec<Caller>,
 }
 
-/// The service; its threads end with the test's process.
+/// Handle to the running service; its threads run until the test's process ends.
 #[derive(Clone)]
 pub struct Discovery {
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
-/// What a call asks for: all, or what is newer than a revision within a wait.
+/// What a call requests.
 enum Call {
-    Whole,
+    /// The whole list.
+    FullList,
+    /// The list once it is newer than revision `since`, or an empty answer after `wait`.
     Watch { since: u32, wait: Duration },
 }
 
-fn call_of(line: &str) -> Call {
+/// Parses a request line: one with the parameter `index` is a watch.
+fn parse_call(line: &str) -> Call {
     let value = |name: &str| {
         let (_, rest) = line.split_once(name)?;
         rest.split(['&', ' ']).next()?.parse::<u64>().ok()
@@ -64,11 +70,12 @@
             since: since as u32,
             wait: Duration::from_millis(value("wait=").unwrap_or(0)),
         },
-        None => Call::Whole,
+        None => Call::FullList,
     }
 }
 
 impl Discovery {
+    /// Creates a service whose list holds these targets.
     pub fn new(capacity: Capacity, revision: u32, targets: &[String]) -> Discovery {
         let state = State {
             capacity,
@@ -87,7 +94,7 @@
         self.shared.0.lock().unwrap()
     }
 
-    /// An address for one more gateway, and the gateway's number here.
+    /// Starts serving one more gateway; returns the address for it and its index as a caller.
     pub fn add_gateway(&self) -> (String, usize) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -106,7 +113,7 @@
         (address, caller)
     }
 
-    /// From now on the list is this one; when that was.
+    /// Replaces the list, which answers waiting watches, and returns the time of the change.
     pub fn set_targets(&self, revision: u32, targets: &[String]) -> Instant {
         let mut state = self.state();
         (state.revision, state.targets) = (revision, targets.to_vec());
@@ -114,38 +121,45 @@
         Instant::now()
     }
 
-    /// From now on every new call is refused, or none for that alone; watches that are open get no further answer.
+    /// Switches the refusal of all new calls on or off. Switching it on ends the connections of open watches unanswered.
     pub fn refuse_all(&self, refuses: bool) {
         self.state().refuses_all = refuses;
         self.shared.1.notify_all();
     }
 
-    /// When this gateway was first written that revision.
+    /// Returns when the newest revision written to this gateway was first written; `None` while that one is older than
+    /// `revision`.
     pub fn first_written_at(&self, caller: usize, revision: u32) -> Option<Instant> {
-        let told = self.state().callers[caller].told;
-        told.filter(|(to, _)| *to >= revision).map(|(_, at)| at)
+        let written = self.state().callers[caller].written;
+        written
+            .filter(|(newest, _)| *newest >= revision)
+            .map(|(_, at)| at)
     }
 
+    /// Returns the number of calls of this gateway, refused ones included.
     pub fn calls(&self, caller: usize) -> usize {
         self.state().callers[caller].calls
     }
 
+    /// Returns the number of refused calls of this gateway.
     pub fn refusals(&self, caller: usize) -> usize {
         self.state().callers[caller].refusals
     }
 
-    /// Waits until that gateway has been refused so often; whether it was within that time.
+    /// Waits until at least `refusals` calls of this gateway have been refused; returns whether that came about within the
+    /// time `within`.
     pub fn wait_for_refusals(&self, caller: usize, refusals: usize, within: Duration) -> bool {
-        let waits = |state: &mut State| state.callers[caller].refusals < refusals;
+        let too_few = |state: &mut State| state.callers[caller].refusals < refusals;
         !self
             .shared
             .1
-            .wait_timeout_while(self.state(), within, waits)
+            .wait_timeout_while(self.state(), within, too_few)
             .unwrap()
             .1
             .timed_out()
     }
 
+    /// Answers the calls of one connection.
     fn serve(&self, caller: usize, mut stream: TcpStream) -> Option<()> {
         let mut lines = BufReader::new(stream.try_clone().ok()?)
             .lines()
@@ -155,7 +169,7 @@
                 .by_ref()
                 .take_while(|line| !line.is_empty())
                 .for_each(drop);
-            let call = call_of(&line);
+            let call = parse_call(&line);
             if !self.admit(caller, &call) {
                 return stream
                     .write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
@@ -166,15 +180,15 @@
             let mut state = self.state();
             let record = &mut state.callers[caller];
             record.last_answer = Some(Instant::now());
-            if written.is_ok() && record.told.is_none_or(|(before, _)| before < revision) {
-                record.told = Some((revision, Instant::now()));
+            if written.is_ok() && record.written.is_none_or(|(before, _)| before < revision) {
+                record.written = Some((revision, Instant::now()));
             }
             self.shared.1.notify_all();
         }
         Some(())
     }
 
-    /// Waits for the call's turn; whether it has one.
+    /// Waits for the call's turn in the queue; returns whether it is answered rather than refused.
     fn admit(&self, caller: usize, call: &Call) -> bool {
         let mut state = self.state();
         let now = Instant::now();
@@ -187,29 +201,30 @@
         if continues && !state.refuses_all {
             return true;
         }
-        let begins = state.busy_until.max(now);
-        if state.refuses_all || begins - now > state.capacity.max_queue_wait {
-            state.busy_until = begins + state.capacity.refusal_cost;
+        let starts_at = state.busy_until.max(now);
+        if state.refuses_all || starts_at - now > state.capacity.max_queue_wait {
+            state.busy_until = starts_at + state.capacity.refusal_cost;
             state.callers[caller].refusals += 1;
             self.shared.1.notify_all();
             return false;
         }
-        state.busy_until = begins + state.capacity.call_cost;
-        let turn = state.busy_until;
+        state.busy_until = starts_at + state.capacity.call_cost;
+        let done_at = state.busy_until;
         drop(state);
-        thread::sleep(turn.saturating_duration_since(Instant::now()));
+        thread::sleep(done_at.saturating_duration_since(Instant::now()));
         true
     }
 
-    /// None where the service has begun to refuse meanwhile: the connection ends.
+    /// Returns the revision and the text of a call's answer. Returns `None`, which ends the connection, where a watch finds
+    /// that the service refuses all calls.
     fn answer(&self, call: &Call) -> Option<(u32, String)> {
         let mut state = self.state();
         if let Call::Watch { since, wait } = *call {
-            let nothing = |state: &mut State| state.revision <= since && !state.refuses_all;
+            let unchanged = |state: &mut State| state.revision <= since && !state.refuses_all;
             let waited = self
                 .shared
                 .1
-                .wait_timeout_while(state, wait, nothing)
+                .wait_timeout_while(state, wait, unchanged)
                 .unwrap();
             state = waited.0;
             if state.refuses_all {
--- a/crates/test-support/src/replica_set.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -1,7 +1,6 @@
-//! Owns a set of database servers on sockets: the emulator's model of one, with real time and connections before it,
-//! and for each server a pace and a health that can be changed while it serves.
-//!
-//! It must never decide what a set would: what a statement comes to is the model's word.
+//! A replica set of database servers on loopback sockets. The cluster model decides what each statement results in; this
+//! module adds connections and real time, and lets a test change the health of each server and the pace at which it
+//! writes.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -20,7 +19,8 @@
     unix_ms,
 };
 
-/// A set with no lag, no queue that binds and no cold start, whose keyed repeats are dropped for three seconds.
+/// A replica set without replication lag or cold starts and with more slots than tests use, which drops keyed retries for
+/// 3 s after the first execution and elects a primary 0.8 s after the loss of one. Times are in ticks of 100 µs.
 pub const IDEAL_SET: Build = Build {
     slots: 1_000,
     queue: 1_000,
@@ -34,94 +34,112 @@
     usual_work: 40,
 };
 
-/// What all members of a set share.
+/// State that the members of a replica set share.
 pub struct ReplicaSet {
     state: Mutex<State>,
-    began: Instant,
-    began_ms: u128,
+    /// When the model's tick 0 was.
+    epoch: Instant,
+    /// The same in milliseconds since the Unix epoch.
+    epoch_ms: u128,
 }
 
 struct State {
     model: Model,
-    /// By session: the position of its last write, as the members themselves know it.
-    wrote: BTreeMap<String, Ticks>,
-    /// Keys that ran, and how often one ran again.
-    keys: BTreeMap<String, Ticks>,
-    twice: u64,
-    runs: u64,
-    /// By id, until it is asked for: how the newest row of a session's read was made.
-    reads: BTreeMap<String, ReadOrigin>,
+    /// By session: the replication position of its last write.
+    last_writes: BTreeMap<String, Ticks>,
+    /// Keys of the writes that took effect, and when each last did.
+    executed_keys: BTreeMap<String, Ticks>,
+    /// Number of keyed writes that took effect again.
+    duplicate_effects: u64,
+    /// Number of writes that took effect.
+    effects: u64,
+    /// By request id, until it is taken: the origin of the newest row returned to a session's read.
+    read_origins: BTreeMap<String, ReadOrigin>,
 }
 
-/// How a row of a session's read was made.
+/// The server and the state from which a session's read was answered.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadOrigin {
-    /// The state it was made from, as a position.
+    /// Replication position of the state that was read.
     pub position: Ticks,
+    /// The primary answered.
     pub by_primary: bool,
-    /// By the primary, though a replica had what the session has written.
+    /// The primary answered although a replica had applied the session's last write.
     pub needless: bool,
 }
 
+/// A running server of a replica set.
 pub struct ReplicaSetMember {
+    /// Its listening address, `IP:port`.
     pub address: String,
+    /// Whether it was the primary when it was started.
     pub primary: bool,
     pace: Arc<Mutex<Pace>>,
 }
 
 impl ReplicaSet {
-    pub fn new(build: Build, machines: usize) -> Arc<ReplicaSet> {
+    /// Creates the state of a replica set with `members` servers; none is started.
+    pub fn new(build: Build, members: usize) -> Arc<ReplicaSet> {
         let state = State {
-            model: Model::new(build, machines),
-            wrote: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            twice: 0,
-            runs: 0,
-            reads: BTreeMap::new(),
+            model: Model::new(build, members),
+            last_writes: BTreeMap::new(),
+            executed_keys: BTreeMap::new(),
+            duplicate_effects: 0,
+            effects: 0,
+            read_origins: BTreeMap::new(),
         };
-        // The model begins an hour into its time, so that no lag reaches back before it.
-        let began = Instant::now() - Duration::from_secs(3_600);
+        // The model starts at an hour of its own time, so that no replication lag reaches back before tick 0.
+        let epoch = Instant::now() - Duration::from_secs(3_600);
         Arc::new(ReplicaSet {
             state: Mutex::new(state),
-            began,
-            began_ms: unix_ms() - 3_600_000,
+            epoch,
+            epoch_ms: unix_ms() - 3_600_000,
         })
     }
 
+    /// Returns the model's time now.
     fn now(&self) -> Ticks {
-        (self.began.elapsed().as_micros() / 100) as Ticks
+        (self.epoch.elapsed().as_micros() / 100) as Ticks
     }
 
-    /// Effects that happened twice, and all that happened.
+    /// Returns the number of keyed writes that took effect again, and the number of all writes that took effect.
     pub fn effect_counts(&self) -> (u64, u64) {
         let state = self.state.lock().unwrap();
-        (state.twice, state.runs)
+        (state.duplicate_effects, state.effects)
     }
 
-    /// The position of a session's last write, as the set knows it.
+    /// Returns the replication position of a session's last write; `None` where it has written nothing.
     pub fn last_write_position(&self, session: &str) -> Option<Ticks> {
-        self.state.lock().unwrap().wrote.get(session).copied()
+        self.state.lock().unwrap().last_writes.get(session).copied()
     }
 
-    /// How the newest row for that read was made.
+    /// Removes and returns the origin of the newest row returned to the read with this request id. Only reads of the class
+    /// `own` are recorded.
     pub fn take_read_origin(&self, id: &str) -> Option<ReadOrigin> {
-        self.state.lock().unwrap().reads.remove(id)
+        self.state.lock().unwrap().read_origins.remove(id)
     }
 
+    /// Returns the index of the primary; `None` while there is none.
     pub fn primary(&self) -> Option<usize> {
         self.state.lock().unwrap().model.primary()
     }
 
+    /// Makes the server `to` the primary in place of the present one.
     pub fn switch_over(&self, to: usize) {
         self.state.lock().unwrap().model.hand_over(to);
     }
 
-    /// A replica applies nothing more, or all of it again.
-    pub fn set_replication_paused(&self, member: usize, held: bool) {
+    /// Pauses or resumes replication at a replica; a paused one applies nothing newer.
+    pub fn set_replication_paused(&self, member: usize, paused: bool) {
         let now = self.now();
-        self.state.lock().unwrap().model.hold_up(now, member, held);
+        self.state
+            .lock()
+            .unwrap()
+            .model
+            .hold_up(now, member, paused);
     }
 
+    /// Sets a server's health in the model.
     pub fn set_health(&self, member: usize, health: Health) {
         let now = self.now();
         self.state
@@ -131,14 +149,15 @@
             .set_health(now, member, health);
     }
 
-    /// An election that is due is over; who was elected.
+    /// Completes an election that is due and returns the index of the new primary; `None` where none was elected.
     pub fn elect(&self) -> Option<usize> {
         let now = self.now();
         self.state.lock().unwrap().model.elect(now)
     }
 
-    /// A slot for a statement that has come whole.
-    fn begins(&self, member: usize, patience: Duration) -> Result<(), Reply> {
+    /// Waits for a slot in which the server can work on a statement; fails where the server turns it away, or has no slot
+    /// within `max_wait`.
+    fn acquire_slot(&self, member: usize, max_wait: Duration) -> Result<(), Reply> {
         if self
             .state
             .lock()
@@ -148,7 +167,7 @@
         {
             return Ok(());
         }
-        let until = Instant::now() + patience;
+        let until = Instant::now() + max_wait;
         while Instant::now() < until {
             sleep(Duration::from_millis(1));
             if self.state.lock().unwrap().model.turn(self.now(), member) {
@@ -159,15 +178,16 @@
         Err(Reply::Full)
     }
 
-    /// The work on a statement is done: what it comes to, whether by the primary, and at which position.
-    fn works(&self, member: usize, text: &str) -> (Reply, bool, u128) {
+    /// Executes a statement; returns its result, whether the server is the primary, and the replication position to report,
+    /// in milliseconds since the Unix epoch.
+    fn execute(&self, member: usize, text: &str) -> (Reply, bool, u128) {
         let write = text.starts_with("INSERT");
         let session = text.split('\'').nth(1).unwrap_or_default();
         let key = comment_value(text, "k");
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         let primary = state.model.is_primary(member);
-        let (reply, at, effect) = state.model.works(
+        let (reply, position, effect) = state.model.works(
             now,
             member,
             &Ask {
@@ -177,87 +197,92 @@
             },
         );
         if effect {
-            state.runs += 1;
+            state.effects += 1;
             if let Some(key) = key
-                && state.keys.insert(key.to_owned(), now).is_some()
+                && state.executed_keys.insert(key.to_owned(), now).is_some()
             {
-                state.twice += 1;
+                state.duplicate_effects += 1;
             }
-            state.wrote.insert(session.to_owned(), at);
+            state.last_writes.insert(session.to_owned(), position);
         }
         if !write && comment_value(text, "c") == Some("own") && reply == Reply::Row {
-            let wrote = state.wrote.get(session).copied().unwrap_or(0);
-            let others = (0..state.model.machines.len()).filter(|m| !state.model.is_primary(*m));
+            let last_write = state.last_writes.get(session).copied().unwrap_or(0);
+            let replicas = (0..state.model.machines.len()).filter(|m| !state.model.is_primary(*m));
             let needless = primary
-                && others
+                && replicas
                     .into_iter()
-                    .any(|m| state.model.position(now, m) >= wrote);
+                    .any(|m| state.model.position(now, m) >= last_write);
             let id = comment_value(text, "id").unwrap_or_default().to_owned();
-            state.reads.insert(
+            state.read_origins.insert(
                 id,
                 ReadOrigin {
-                    position: at,
+                    position,
                     by_primary: primary,
                     needless,
                 },
             );
         }
-        // A commit is told rounded up, as a position is the whole milliseconds that are surely applied.
+        // A commit's position is rounded up and any other one down: a position of N ms means that everything up to N ms has
+        // been applied.
         let ms = if effect {
-            (at as u128).div_ceil(10)
+            (position as u128).div_ceil(10)
         } else {
-            at as u128 / 10
+            position as u128 / 10
         };
-        (reply, primary, self.began_ms + ms)
+        (reply, primary, self.epoch_ms + ms)
     }
 }
 
 impl ReplicaSetMember {
-    pub fn start(set: &Arc<ReplicaSet>, nth: usize, work: Duration) -> ReplicaSetMember {
+    /// Starts the server with index `index` of a replica set on a free loopback port. Each statement occupies a slot for
+    /// the time `work`.
+    pub fn start(set: &Arc<ReplicaSet>, index: usize, work: Duration) -> ReplicaSetMember {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let pace = Arc::new(Mutex::new(Pace::Whole));
-        let (shared, at) = (set.clone(), pace.clone());
+        let (shared_set, shared_pace) = (set.clone(), pace.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (set, pace) = (shared.clone(), at.clone());
-                let serve = move || {
-                    serve(stream, &set, &pace, nth, work);
+                let (set, pace) = (shared_set.clone(), shared_pace.clone());
+                let serve_connection = move || {
+                    serve(stream, &set, &pace, index, work);
                 };
-                let _ = thread::Builder::new().stack_size(128 << 10).spawn(serve);
+                let _ = thread::Builder::new()
+                    .stack_size(128 << 10)
+                    .spawn(serve_connection);
             }
         });
         ReplicaSetMember {
             address,
-            primary: set.primary() == Some(nth),
+            primary: set.primary() == Some(index),
             pace,
         }
     }
 
-    /// From the next answer on.
+    /// Sets the pace at which answers are written, from the next answer on.
     pub fn set_pace(&self, pace: Pace) {
         *self.pace.lock().unwrap() = pace;
     }
 }
 
-/// A set that serves: its members, and the list that names them.
+/// Starts a replica set of `count` servers and returns its state, the servers and a complete endpoint list of them.
 pub fn start_replica_set(
     build: Build,
-    many: usize,
+    count: usize,
     work: Duration,
 ) -> (Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
-    let set = ReplicaSet::new(build, many);
-    let members: Vec<_> = (0..many)
+    let set = ReplicaSet::new(build, count);
+    let members: Vec<_> = (0..count)
         .map(|n| ReplicaSetMember::start(&set, n, work))
         .collect();
     let mode = |m: &ReplicaSetMember| if m.primary { "read-write" } else { "read-only" };
-    let named =
+    let entry =
         |(n, m): (usize, &ReplicaSetMember)| target(&format!("s{n}"), &m.address, "up", mode(m));
-    let targets: Vec<_> = members.iter().enumerate().map(named).collect();
+    let targets: Vec<_> = members.iter().enumerate().map(entry).collect();
     (set, members, endpoint_list(7, true, &targets))
 }
 
-/// One name's value in a statement's comment.
+/// Returns the value of the field `name` in the comment at the end of a statement; `None` where there is none.
 pub fn comment_value<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let comment = text.rsplit_once("/* ")?.1.strip_suffix(" */")?;
     comment
@@ -265,11 +290,12 @@
         .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
+/// Answers the statements of one connection.
 fn serve(
     mut stream: TcpStream,
     set: &ReplicaSet,
     pace: &Mutex<Pace>,
-    nth: usize,
+    index: usize,
     work: Duration,
 ) -> Option<()> {
     let _ = stream.set_nodelay(true);
@@ -282,25 +308,27 @@
         let (_, body) = read_message(&mut stream)?;
         let text = std::str::from_utf8(&body).ok()?.trim_end_matches('\0');
         let id = comment_value(text, "id")?;
-        let patience = comment_value(text, "d")
+        let max_wait = comment_value(text, "d")
             .and_then(|ms| ms.parse().ok())
             .unwrap_or(0);
-        let (reply, primary, position) = match set.begins(nth, Duration::from_millis(patience)) {
-            Err(reply) => (reply, set.primary() == Some(nth), 0),
-            Ok(()) => {
-                sleep(work);
-                set.works(nth, text)
-            }
-        };
+        let (reply, primary, position) =
+            match set.acquire_slot(index, Duration::from_millis(max_wait)) {
+                Err(reply) => (reply, set.primary() == Some(index), 0),
+                Ok(()) => {
+                    sleep(work);
+                    set.execute(index, text)
+                }
+            };
         let mut out = encode_response(reply, text, id);
-        let ends = out.len();
+        let row_end = out.len();
         encode_status(&mut out, primary, (position > 0).then_some(position as f64));
-        let at = *pace.lock().unwrap();
-        write_paced(&mut stream, &out, ends, at).ok()?;
+        let current_pace = *pace.lock().unwrap();
+        write_paced(&mut stream, &out, row_end, current_pace).ok()?;
     }
 }
 
-/// What a machine answers a statement with: the row made for it, or the error that turns it away.
+/// Returns the messages that answer a statement: a row with the value expected for the request `id`, of 64 bytes for a
+/// write and of the length in its key for a read, or the error that `reply` stands for.
 pub fn encode_response(reply: Reply, text: &str, id: &str) -> Vec<u8> {
     match reply {
         Reply::Row if text.starts_with("INSERT") => {
@@ -313,12 +341,12 @@
             ),
             READ_TAG,
         ),
-        refused => refusal(refused),
+        rejected => error_response(rejected),
     }
 }
 
-/// What it says of itself behind that: its role, its position as milliseconds of the day, where it has one; then that
-/// it is ready.
+/// Appends the server's status, which follows each answer: its role, its replication position in milliseconds since the
+/// Unix epoch where it has one, and ReadyForQuery.
 pub fn encode_status(out: &mut Vec<u8>, primary: bool, position: Option<f64>) {
     let mode = if primary { "read-write" } else { "read-only" };
     put_message(out, b'S', format!("mode\0{mode}\0").as_bytes());
@@ -328,8 +356,8 @@
     put_message(out, b'Z', b"I");
 }
 
-/// The error with which a machine turns a statement away.
-fn refusal(reply: Reply) -> Vec<u8> {
+/// Returns the error with which a server rejects a statement.
+fn error_response(reply: Reply) -> Vec<u8> {
     let code = match reply {
         Reply::NotPrimary => "25006",
         Reply::Behind => "72000",
