--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -8,6 +8,7 @@
 
 /// A client's end of a connection.
 pub struct Client {
+    /// The connection; [`crate::gateway::Gateway::connect`] sets a read timeout on it.
     pub stream: TcpStream,
 }
 
--- a/crates/test-support/src/manual.rs
+++ b/crates/test-support/src/manual.rs
@@ -89,6 +89,7 @@
 
 /// The server's end of a connection.
 pub struct ManualConnection {
+    /// The connection, without Nagle's algorithm. Reads time out after [`WAIT_LIMIT`].
     pub stream: TcpStream,
 }
 
