--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use leverpoint_cluster_model::set::Build as Machines;
+use leverpoint_cluster_model::replica_set::ReplicaSetConfig as Machines;
 use leverpoint_test_support::fleet::{FleetConfig, GatewayFleet};
 use leverpoint_test_support::gateway::spawn_process;
 use leverpoint_test_support::relay::LinkFaults;
@@ -80,7 +80,7 @@
     } = timing;
     let (set, members, known) = start_replica_set(
         Machines {
-            lag: 1_000,
+            replication_lag: 1_000,
             ..IDEAL_SET
         },
         3,
--- a/crates/membership/src/member/probing.rs
+++ b/crates/membership/src/member/probing.rs
@@ -1,6 +1,6 @@
 //! Failure detection: one direct probe a round, indirect probes through other members, and contact with seeds.
 
-use leverpoint_failpoint::plant;
+use leverpoint_failpoint::failpoint_active;
 
 use super::Member;
 use crate::Ticks;
@@ -120,7 +120,7 @@
             self.contact_seeds();
         }
         let is_reconnect_round = self.schedule.rounds.is_multiple_of(RECONNECT_EVERY_ROUNDS);
-        if !is_reconnect_round || plant("gone-for-good") {
+        if !is_reconnect_round || failpoint_active("gone-for-good") {
             return;
         }
         let mut candidates = self.dead_members();
--- a/crates/replication/src/read_quorum.rs
+++ b/crates/replication/src/read_quorum.rs
@@ -142,7 +142,7 @@
     fn counted_reply(&self, replica: &ReplicaId) -> Option<&ReplicaReply> {
         let member = self.replies.get(&replica.name)?;
         let same_storage = member.storage_id == replica.storage_id
-            || leverpoint_failpoint::plant("empty-memory-counts");
+            || leverpoint_failpoint::failpoint_active("empty-memory-counts");
         let reply = member.reply.as_ref().filter(|_| same_storage);
         reply.filter(|reply| !reply.partitioned)
     }
--- a/crates/simulator/src/agents.rs
+++ b/crates/simulator/src/agents.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leverpoint_cluster_model::list::Phase;
+use leverpoint_cluster_model::endpoint_list::Phase;
 use leverpoint_runtime::{Listener, now, sleep, timeout_at};
 
 use crate::course::{CLOSES, Play, address};
@@ -20,7 +20,7 @@
             self.agent_process(n),
             address(if second { 3 } else { 2 }, n),
         );
-        let listener = Listener::World(door);
+        let listener = Listener::Simulated(door);
         while let Ok(stream) = listener.accept().await {
             let play = self.clone();
             let serves = move || play.place.agent_moved.borrow()[n] == second;
@@ -52,11 +52,11 @@
         }
         let list = self.place.list.borrow();
         let known = self.place.agent_knows.borrow_mut()[n].replace(list.revision());
-        for entry in list.since(known) {
+        for entry in list.changed_since(known) {
             let wanted = entry.phase == Phase::Up;
             self.checker
                 .borrow_mut()
-                .told(self.now(), n, entry.machine, wanted);
+                .told(self.now(), n, entry.server, wanted);
         }
     }
 
--- a/crates/test-support/src/replica_set.rs
+++ b/crates/test-support/src/replica_set.rs
@@ -10,7 +10,9 @@
 use std::time::{Duration, Instant};
 
 use leverpoint_cluster_model::Ticks;
-use leverpoint_cluster_model::set::{Ask, Build, Health, Reply, Set as Model};
+use leverpoint_cluster_model::replica_set::{
+    Health, ReplicaSet as Model, ReplicaSetConfig, Reply, Statement,
+};
 
 use crate::pace::{Pace, write_paced};
 use crate::values::{expected_value, value_length};
@@ -21,17 +23,17 @@
 
 /// A replica set without replication lag or cold starts and with more slots than tests use, which drops keyed retries for
 /// 3 s after the first execution and elects a primary 0.8 s after the loss of one. Times are in ticks of 100 µs.
-pub const IDEAL_SET: Build = Build {
+pub const IDEAL_SET: ReplicaSetConfig = ReplicaSetConfig {
     slots: 1_000,
-    queue: 1_000,
-    lag: 0,
-    window: 30_000,
-    election: 8_000,
-    cold_share: 1.0,
-    cold_time: 0,
-    fall_multiple: 1e9,
-    fall_time: 10_000,
-    usual_work: 40,
+    queue_capacity: 1_000,
+    replication_lag: 0,
+    key_retention: 30_000,
+    election_duration: 8_000,
+    cold_start_capacity: 1.0,
+    cold_start_duration: 0,
+    overload_multiple: 1e9,
+    overload_window: 10_000,
+    typical_work: 40,
 };
 
 /// State that the members of a replica set share.
@@ -79,9 +81,9 @@
 
 impl ReplicaSet {
     /// Creates the state of a replica set with `members` servers; none is started.
-    pub fn new(build: Build, members: usize) -> Arc<ReplicaSet> {
+    pub fn new(config: ReplicaSetConfig, members: usize) -> Arc<ReplicaSet> {
         let state = State {
-            model: Model::new(build, members),
+            model: Model::new(config, members),
             last_writes: BTreeMap::new(),
             executed_keys: BTreeMap::new(),
             duplicate_effects: 0,
@@ -126,7 +128,7 @@
 
     /// Makes the server `to` the primary in place of the present one.
     pub fn switch_over(&self, to: usize) {
-        self.state.lock().unwrap().model.hand_over(to);
+        self.state.lock().unwrap().model.switch_primary(to);
     }
 
     /// Pauses or resumes replication at a replica; a paused one applies nothing newer.
@@ -136,7 +138,7 @@
             .lock()
             .unwrap()
             .model
-            .hold_up(now, member, paused);
+            .pause_replay(now, member, paused);
     }
 
     /// Sets a server's health in the model.
@@ -158,23 +160,23 @@
     /// Waits for a slot in which the server can work on a statement; fails where the server turns it away, or has no slot
     /// within `max_wait`.
     fn acquire_slot(&self, member: usize, max_wait: Duration) -> Result<(), Reply> {
-        if self
-            .state
-            .lock()
-            .unwrap()
-            .model
-            .arrives(self.now(), member)?
-        {
+        if self.state.lock().unwrap().model.admit(self.now(), member)? {
             return Ok(());
         }
         let until = Instant::now() + max_wait;
         while Instant::now() < until {
             sleep(Duration::from_millis(1));
-            if self.state.lock().unwrap().model.turn(self.now(), member) {
+            if self
+                .state
+                .lock()
+                .unwrap()
+                .model
+                .start_queued(self.now(), member)
+            {
                 return Ok(());
             }
         }
-        self.state.lock().unwrap().model.gives_up(member);
+        self.state.lock().unwrap().model.abandon_queued(member);
         Err(Reply::Full)
     }
 
@@ -187,13 +189,13 @@
         let now = self.now();
         let mut state = self.state.lock().unwrap();
         let primary = state.model.is_primary(member);
-        let (reply, position, effect) = state.model.works(
+        let (reply, position, effect) = state.model.complete(
             now,
             member,
-            &Ask {
-                write,
-                key,
-                owed: None,
+            &Statement {
+                is_write: write,
+                idempotency_key: key,
+                required_position: None,
             },
         );
         if effect {
@@ -207,11 +209,11 @@
         }
         if !write && comment_value(text, "c") == Some("own") && reply == Reply::Row {
             let last_write = state.last_writes.get(session).copied().unwrap_or(0);
-            let replicas = (0..state.model.machines.len()).filter(|m| !state.model.is_primary(*m));
+            let replicas = (0..state.model.servers.len()).filter(|m| !state.model.is_primary(*m));
             let needless = primary
                 && replicas
                     .into_iter()
-                    .any(|m| state.model.position(now, m) >= last_write);
+                    .any(|m| state.model.applied_position(now, m) >= last_write);
             let id = comment_value(text, "id").unwrap_or_default().to_owned();
             state.read_origins.insert(
                 id,
@@ -267,11 +269,11 @@
 
 /// Starts a replica set of `count` servers and returns its state, the servers and a complete endpoint list of them.
 pub fn start_replica_set(
-    build: Build,
+    config: ReplicaSetConfig,
     count: usize,
     work: Duration,
 ) -> (Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
-    let set = ReplicaSet::new(build, count);
+    let set = ReplicaSet::new(config, count);
     let members: Vec<_> = (0..count)
         .map(|n| ReplicaSetMember::start(&set, n, work))
         .collect();
