--- a/crates/test-support/src/wire.rs
+++ b/crates/test-support/src/wire.rs
@@ -104,7 +104,7 @@
 }
 
 /// Returns the SQL comment that carries a request's metadata: a new id, `request_class`, tenant `acme`, a deadline of
-/// 60 s, the request key `5c` and replica set 2.
+/// 60 s, the idempotency key `5c` and replica set 2.
 pub fn request_comment(request_class: &str) -> String {
     format!(
         "/* id={:x},c={request_class},t=acme,d=60000,k=5c,cluster=2 */",
