--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -38,7 +38,7 @@
         processes: 5,
         founders: 3,
         heartbeat_ms: beat_ms,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: true,
         zones: 2,
         members: true,
@@ -81,14 +81,14 @@
 #[test]
 fn a_killed_member_is_dead_for_all_and_returns_with_or_without_its_memory() {
     let mut stage = five();
-    let memory = stage.observed(4).memory.clone();
+    let memory = stage.observed(4).storage_id.clone();
     stage.kill(4);
     gone_for(&mut stage, &[0, 1, 2, 3], 4);
     stage.start(4);
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.observed(4).memory, memory);
+    assert_eq!(stage.observed(4).storage_id, memory);
     assert_eq!(
-        stage.observed(0).layout,
+        stage.observed(0).layout_version,
         3,
         "with its folder it is the holder that it was"
     );
@@ -96,8 +96,8 @@
     stage.kill_and_erase(4);
     stage.start(4);
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
-    assert_ne!(stage.observed(4).memory, memory);
-    assert_eq!(stage.observed(4).holders, 5);
+    assert_ne!(stage.observed(4).storage_id, memory);
+    assert_eq!(stage.observed(4).holder_count, 5);
     sound(&mut stage, &[0, 1, 2, 3, 4]);
 }
 
@@ -159,10 +159,16 @@
     );
     for p in [2, 3, 4] {
         stage.expect_state(p, "a layout without n1", |word| {
-            word.layout == 4 && word.holders == 4
+            word.layout_version == 4 && word.holder_count == 4
         });
     }
-    assert_eq!((stage.observed(0).layout, stage.observed(1).layout), (3, 3));
+    assert_eq!(
+        (
+            stage.observed(0).layout_version,
+            stage.observed(1).layout_version
+        ),
+        (3, 3)
+    );
     stage.clear_faults();
     // Both sides meet, and who was voted out is taken in again.
     stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
@@ -286,7 +292,7 @@
         processes: 2,
         founders: 0,
         heartbeat_ms: 100,
-        settle_ms: None,
+        join_delay_ms: None,
         disk: false,
         zones: 1,
         members: false,
