--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! Lists of 1,024 servers and of 1,024 processes go through whole: no bound on either lies below that. docs/gateway.md
-//! lists the bounds.
+//! Endpoint lists of 1,024 servers and fleets of 1,024 gateway processes are supported: no size limit is below that.
+//! docs/gateway.md lists the limits.
 
 use std::path::Path;
 
@@ -12,12 +12,12 @@
 use leverpoint_replication::record::{
     EndpointSummary, MAX_DRAINED, MAX_NAME_LEN, Record, RecordKey, RecordValue,
 };
-use leverpoint_test_support::gateway::{self as stands, config, free_address};
+use leverpoint_test_support::gateway::{self as gateway_process, config, free_address};
 use leverpoint_test_support::manual::ManualAgent;
 use leverpoint_test_support::server::{always_row, start_server};
 use leverpoint_test_support::wire::{endpoint_list, http_ok, insert, select};
 
-const MANY: usize = 1_024;
+const ENTRY_COUNT: usize = 1_024;
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
@@ -36,45 +36,48 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 100.0}]}"#;
 
-/// A list with a primary and its replicas, or a set for each server: (set, mode) by its number.
-fn targets(address: &str, of: impl Fn(usize) -> (usize, &'static str)) -> Vec<String> {
+/// The entries of an endpoint list; `set_and_mode` returns the replica set and the mode of server `n`.
+fn targets(address: &str, set_and_mode: impl Fn(usize) -> (usize, &'static str)) -> Vec<String> {
     let target = |n| {
-        let (set, mode) = of(n);
+        let (set, mode) = set_and_mode(n);
         format!(
             r#"{{"uid":"s{n}","endpoint":"{address}","az":"a","pod_group":{set},"state":"up","mode":"{mode}"}}"#
         )
     };
-    (0..MANY).map(target).collect()
+    (0..ENTRY_COUNT).map(target).collect()
 }
 
 #[test]
-fn a_gateway_serves_1_024_servers_in_one_replica_set_and_in_as_many() {
+fn a_gateway_serves_1_024_servers_in_one_replica_set_and_in_1_024_replica_sets() {
     let primary = start_server("read-write", always_row("one"));
-    let one = |n| {
+    let single_set = |n| {
         (
             2,
-            if n == MANY - 1 {
+            if n == ENTRY_COUNT - 1 {
                 "read-write"
             } else {
                 "read-only"
             },
         )
     };
-    let many = |n| (n, "read-write");
+    let separate_sets = |n| (n, "read-write");
     for (targets, sets) in [
-        (targets(&primary.address, one), vec![2]),
-        (targets(&primary.address, many), vec![0, 2, MANY - 1]),
+        (targets(&primary.address, single_set), vec![2]),
+        (
+            targets(&primary.address, separate_sets),
+            vec![0, 2, ENTRY_COUNT - 1],
+        ),
     ] {
         let agent = ManualAgent::new();
         let address = free_address();
-        // Known from the start, and said whole by the agent.
+        // The configuration holds the list at startup, and the agent then sends a full listing.
         let text = config(
             &address,
             &agent.address,
             &endpoint_list(7, true, &targets),
             SETTINGS,
         );
-        let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
+        let gateway = gateway_process::start(&text, address, agent.agent(), program(), &[]);
         agent
             .next_request()
             .send(&http_ok(&endpoint_list(8, true, &targets)));
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn a_ballot_of_1_024_holders_and_as_many_drains_fit_their_frames() {
+fn a_layout_of_1_024_holders_and_a_record_of_1_024_drained_servers_fit_their_size_limits() {
     let name = |n: usize, length: usize| format!("{n:0length$}");
     let holder = |n| ReplicaHolder {
         name: name(n, MAX_TEXT_BYTES),
@@ -105,11 +108,11 @@
         machine: name(n, MAX_TEXT_BYTES),
         zone: name(n, MAX_TEXT_BYTES),
     };
-    let layout = |many: usize| Layout {
+    let layout = |count: usize| Layout {
         version: 9,
-        holders: (0..many).map(holder).collect(),
+        holders: (0..count).map(holder).collect(),
     };
-    let card = MemberInfo {
+    let member_info = MemberInfo {
         name: name(1, MAX_TEXT_BYTES),
         address: name(2, MAX_TEXT_BYTES),
         zone: name(3, MAX_TEXT_BYTES),
@@ -120,9 +123,9 @@
             storage_id: u64::MAX,
         },
     };
-    let accept = |many| Envelope {
+    let accept = |count| Envelope {
         sender: MemberUpdate {
-            info: card.clone(),
+            info: member_info.clone(),
             refutation_count: u32::MAX,
             status: MemberStatus::Alive,
         },
@@ -135,32 +138,32 @@
         body: Body::Accept {
             version: 9,
             ballot: Ballot::default(),
-            layout: layout(many),
+            layout: layout(count),
         },
     };
     assert!(
-        MAX_HOLDERS >= MANY
+        MAX_HOLDERS >= ENTRY_COUNT
             && accept(MAX_HOLDERS).is_valid()
             && !accept(MAX_HOLDERS + 1).is_valid()
     );
     assert!(frame::encode_message(&Message::Membership(Box::new(accept(MAX_HOLDERS)))).is_some());
-    let drained = |many| Record {
+    let drained = |count| Record {
         key: RecordKey::EndpointList,
         value: RecordValue::EndpointList(EndpointSummary {
             revision: 1,
             observed_at: 1,
-            drained: (0..many).map(|n| name(n, MAX_NAME_LEN)).collect(),
+            drained: (0..count).map(|n| name(n, MAX_NAME_LEN)).collect(),
         }),
     };
     assert!(
-        MAX_DRAINED >= MANY
+        MAX_DRAINED >= ENTRY_COUNT
             && drained(MAX_DRAINED).is_valid()
             && !drained(MAX_DRAINED + 1).is_valid()
     );
-    let kept = postcard::to_stdvec(&drained(MAX_DRAINED)).unwrap();
+    let encoded = postcard::to_stdvec(&drained(MAX_DRAINED)).unwrap();
     assert!(
-        kept.len() + 16 <= leverpoint_storage::MAX_REPLICATED_LEN,
+        encoded.len() + 16 <= leverpoint_storage::MAX_REPLICATED_LEN,
         "{}",
-        kept.len()
+        encoded.len()
     );
 }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! How real gateways follow a discovery service that is crowded, refuses, or has been silent: what they have been told,
-//! or count as told, and what still goes to servers that drain.
+//! Gateways with a discovery service that is overloaded, refuses calls or does not answer.
+//!
+//! The tests check which endpoint lists the gateways receive in time, and what is still sent to draining servers.
 
 use std::path::Path;
 use std::sync::mpsc;
@@ -9,22 +10,22 @@
 use leverpoint_test_support::agent::Agent;
 use leverpoint_test_support::discovery::{Capacity, Discovery};
 use leverpoint_test_support::gateway::{
-    self as stands, Gateway, config, counter_value, free_address,
+    self as gateway_process, Gateway, config, counter_value, free_address,
 };
 use leverpoint_test_support::manual::{ManualAgent, full_endpoint_list};
 use leverpoint_test_support::server::{always_row, start_server};
 use leverpoint_test_support::wire::{http_ok, insert, target};
 
-/// The grace after which nothing goes to a server that drains.
+/// The time after which nothing may be sent to a draining server.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// A change counts as told so long after discovery had it, whatever became of the calls.
-const COUNTS_AS_TOLD: Duration = Duration::from_secs(6);
+/// The time after a change reached discovery at which every gateway is held to know it, whatever became of its calls.
+const HELD_TO_KNOW_AFTER: Duration = Duration::from_secs(6);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
 }
 
-/// `discovery`: `pushed` or `on_request`.
+/// Settings with the discovery mode `pushed` or `on_request`.
 fn settings(discovery: &str) -> String {
     format!(
         r#"{{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "{discovery}",
@@ -41,77 +42,83 @@
     )
 }
 
-/// A gateway that remembers this list and finds discovery at that address.
-fn gateway(discovery: &str, known: &str, mode: &str) -> Gateway {
+/// Starts a gateway with a stored endpoint list and the address of its discovery service.
+fn gateway(discovery_address: &str, known: &str, discovery_mode: &str) -> Gateway {
     let address = free_address();
-    let text = config(&address, discovery, known, &settings(mode));
+    let text = config(
+        &address,
+        discovery_address,
+        known,
+        &settings(discovery_mode),
+    );
     let agent = Agent {
-        address: discovery.to_owned(),
+        address: discovery_address.to_owned(),
         responses: mpsc::channel().0,
         requests: mpsc::channel().1,
     };
-    stands::start(&text, address, agent, program(), &[])
+    gateway_process::start(&text, address, agent, program(), &[])
 }
 
-/// An agent that was silent answers only calls that begin after its return, and what it has then counts as told at once.
+/// An agent that did not answer for a while answers only calls that begin after its return, and the gateway is held to
+/// know its list from then on.
 #[test]
 fn a_silent_agent_is_polled_again_within_the_drain_grace() {
-    let (drains, stays) = (
+    let (draining, remaining) = (
         start_server("read-write", always_row("drains")),
         start_server("read-write", always_row("stays")),
     );
     let known = full_endpoint_list(
         7,
         &[
-            ("s0", &drains.address, "up", "read-write"),
-            ("s1", &stays.address, "up", "read-only"),
+            ("s0", &draining.address, "up", "read-write"),
+            ("s1", &remaining.address, "up", "read-only"),
         ],
     );
     let agent = ManualAgent::new();
     let gateway = gateway(&agent.address, &known, "pushed");
-    let now = full_endpoint_list(
+    let current_list = full_endpoint_list(
         9,
         &[
-            ("s0", &drains.address, "draining", "read-only"),
-            ("s1", &stays.address, "up", "read-write"),
+            ("s0", &draining.address, "draining", "read-only"),
+            ("s1", &remaining.address, "up", "read-write"),
         ],
     );
-    // These calls are never answered: the agent learns and tells nothing. It may be back right after any of them.
+    // These calls are never answered. The agent may return right after any of them.
     let mut unanswered = vec![agent.next_request()];
     for _ in 0..4 {
-        let back = Instant::now();
+        let returned_at = Instant::now();
         unanswered.push(agent.next_request());
         assert!(
-            back.elapsed() < DRAIN_GRACE,
+            returned_at.elapsed() < DRAIN_GRACE,
             "the next call came {:?} after the return",
-            back.elapsed()
+            returned_at.elapsed()
         );
     }
-    agent.next_request().send(&http_ok(&now));
-    // Until a watch from that list on is opened: it has been taken.
+    agent.next_request().send(&http_ok(&current_list));
+    // A watch that starts from the new list shows that the gateway has applied it.
     while !agent.next_request().line.contains("index=9") {}
     assert_eq!(
         gateway.connect_client().run_statement(&insert("order")),
         "T D stays C Z"
     );
-    assert_eq!(drains.statements.try_iter().count(), 0);
+    assert_eq!(draining.statements.try_iter().count(), 0);
 }
 
-/// Twelve gateways start in the same moment before a discovery service that needs three seconds to answer one call of
-/// each. A server drains meanwhile.
+/// Twelve gateways start at the same time with a discovery service that needs three seconds to answer one call of each.
+/// Meanwhile a server starts to drain.
 #[test]
 fn an_overloaded_discovery_updates_every_gateway_in_time() {
-    let (drains, stays) = (
+    let (draining, remaining) = (
         start_server("read-write", always_row("drains")),
         start_server("read-write", always_row("stays")),
     );
-    let lists = |drained: &str, role: &str, other: &str| {
+    let endpoint_entries = |state: &str, mode: &str, other_mode: &str| {
         [
-            target("s0", &drains.address, drained, role),
-            target("s1", &stays.address, "up", other),
+            target("s0", &draining.address, state, mode),
+            target("s1", &remaining.address, "up", other_mode),
         ]
     };
-    let before = lists("up", "read-write", "read-only");
+    let before = endpoint_entries("up", "read-write", "read-only");
     let capacity = Capacity {
         call_cost: Duration::from_millis(250),
         refusal_cost: Duration::from_millis(10),
@@ -129,9 +136,10 @@
         .into_iter()
         .map(|start| start.join().unwrap())
         .collect();
-    let changed = discovery.set_targets(8, &lists("draining", "read-only", "read-write"));
-    thread::sleep((changed + COUNTS_AS_TOLD).saturating_duration_since(Instant::now()));
-    let told = addresses
+    let changed =
+        discovery.set_targets(8, &endpoint_entries("draining", "read-only", "read-write"));
+    thread::sleep((changed + HELD_TO_KNOW_AFTER).saturating_duration_since(Instant::now()));
+    let informed = addresses
         .iter()
         .filter(|(_, caller)| discovery.first_written_at(*caller, 8).is_some())
         .count();
@@ -140,34 +148,34 @@
         .map(|(_, caller)| discovery.refusals(*caller))
         .sum();
     assert_eq!(
-        told,
+        informed,
         gateways.len(),
-        "gateways told of the drain in time; {refusals} calls were refused"
+        "gateways informed of the drain in time; {refusals} calls were refused"
     );
-    // No gateway goes on asking more than its watch needs.
+    // No gateway makes more calls than its watch needs.
     let calls: Vec<_> = addresses
         .iter()
         .map(|(_, caller)| discovery.calls(*caller))
         .collect();
     assert!(
         calls.iter().all(|calls| *calls <= 12),
-        "calls of each: {calls:?}"
+        "calls per gateway: {calls:?}"
     );
     thread::sleep(
-        (changed + COUNTS_AS_TOLD + DRAIN_GRACE).saturating_duration_since(Instant::now()),
+        (changed + HELD_TO_KNOW_AFTER + DRAIN_GRACE).saturating_duration_since(Instant::now()),
     );
-    drains.statements.try_iter().for_each(drop);
+    draining.statements.try_iter().for_each(drop);
     for gateway in &gateways {
         assert_eq!(
             gateway.connect_client().run_statement(&insert("order")),
             "T D stays C Z"
         );
     }
-    assert_eq!(drains.statements.try_iter().count(), 0);
+    assert_eq!(draining.statements.try_iter().count(), 0);
 }
 
-/// Discovery is there and refuses every call: what it may have told counts six seconds later, and the gateway cannot know
-/// which server that is.
+/// Discovery is reachable and refuses every call. Six seconds later a gateway is held to know every change, and it cannot
+/// know which server may be draining.
 #[test]
 fn a_gateway_refused_by_discovery_sheds_every_request_once_its_endpoint_list_lease_expires() {
     let one = start_server("read-write", always_row("one"));
@@ -186,12 +194,13 @@
     );
     let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
-    let refuses = Instant::now();
+    let refused_since = Instant::now();
     discovery.refuse_all(true);
-    assert!(discovery.wait_for_refusals(caller, 1, COUNTS_AS_TOLD));
+    assert!(discovery.wait_for_refusals(caller, 1, HELD_TO_KNOW_AFTER));
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     thread::sleep(
-        (refuses + COUNTS_AS_TOLD + DRAIN_GRACE).saturating_duration_since(Instant::now()),
+        (refused_since + HELD_TO_KNOW_AFTER + DRAIN_GRACE)
+            .saturating_duration_since(Instant::now()),
     );
     one.statements.try_iter().for_each(drop);
     let began = Instant::now();
@@ -200,10 +209,10 @@
     gateway.wait_for_log("endpoint list lease expired");
     assert!(
         began.elapsed() < Duration::from_millis(500),
-        "what is given up is answered at once"
+        "a shed request is answered at once"
     );
     assert_eq!(one.statements.try_iter().count(), 0);
-    // A list, and it serves again.
+    // With a new endpoint list it serves again.
     gateway.signal("-USR1");
     let state = gateway.wait_for_log("event=\"discovery\"");
     assert_eq!(
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,5 +1,8 @@
-//! Five real processes of the program, the ways between them cut, held and spoilt, some of them killed, stopped, burnt or
-//! there twice: who sees whom, which layout holds, and that nothing is believed from a life that has ended.
+//! Membership of five gateway processes on real connections.
+//!
+//! Links are partitioned, delayed and corrupted; processes are killed, paused, started without their data directory or
+//! started twice under one name. The tests check the status of each member, the layout, and that no status from an earlier
+//! incarnation is accepted.
 
 use std::path::Path;
 use std::time::Duration;
@@ -18,7 +21,7 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
-const CUT: LinkFaults = LinkFaults {
+const PARTITIONED: LinkFaults = LinkFaults {
     partitioned: true,
     loss: 0.0,
     duplication: 0.0,
@@ -27,17 +30,18 @@
     delay: Duration::ZERO,
 };
 
-/// Five that have met; the first three have founded the layout and the others were taken in.
-fn five() -> GatewayFleet {
-    five_at(100)
+/// Starts five connected processes: the first three have formed the initial layout, the others have been admitted.
+fn start_fleet() -> GatewayFleet {
+    start_fleet_with_heartbeat(100)
 }
 
-/// With a beat of so many milliseconds: where a doubt in passing would be seen, one that a busy machine keeps.
-fn five_at(beat_ms: u64) -> GatewayFleet {
-    let build = FleetConfig {
+/// Starts five processes with this heartbeat interval in milliseconds. A test that a short suspicion would disturb takes an
+/// interval that a busy host can meet.
+fn start_fleet_with_heartbeat(interval_ms: u64) -> GatewayFleet {
+    let fleet_config = FleetConfig {
         processes: 5,
         founders: 3,
-        heartbeat_ms: beat_ms,
+        heartbeat_ms: interval_ms,
         settle_ms: None,
         disk: true,
         zones: 2,
@@ -48,30 +52,30 @@
         extra_hcl: String::new(),
         seed: 11,
     };
-    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
-    stage.start_all();
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    stage
+    let mut fleet = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), fleet_config);
+    fleet.start_all();
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    fleet
 }
 
-fn gone_for(stage: &mut GatewayFleet, who: &[usize], gone: usize) {
-    let name = stage.name(gone).to_owned();
-    for p in who {
-        stage.expect_state(*p, &format!("{name} gone"), |word| {
-            word.has_status(&name, "gone")
+fn expect_dead(fleet: &mut GatewayFleet, observers: &[usize], member: usize) {
+    let name = fleet.name(member).to_owned();
+    for p in observers {
+        fleet.expect_state(*p, &format!("{name} dead"), |state| {
+            state.has_status(&name, "gone")
         });
     }
 }
 
-/// No layout forked, and nobody was believed who had ended.
-fn sound(stage: &mut GatewayFleet, who: &[usize]) {
-    for p in who {
-        let forks = stage.member_counter(*p, "forks");
+/// Asserts that no conflicting layouts and no statuses from earlier incarnations were seen.
+fn assert_no_conflicts(fleet: &mut GatewayFleet, observers: &[usize]) {
+    for p in observers {
+        let forks = fleet.member_counter(*p, "forks");
         assert_eq!(
             (
                 forks,
-                stage.observed(*p).layout_conflicts,
-                stage.observed(*p).stale_statuses
+                fleet.observed(*p).layout_conflicts,
+                fleet.observed(*p).stale_statuses
             ),
             (0, 0, 0)
         );
@@ -79,100 +83,100 @@
 }
 
 #[test]
-fn a_killed_member_is_dead_for_all_and_returns_with_or_without_its_memory() {
-    let mut stage = five();
-    let memory = stage.observed(4).memory.clone();
-    stage.kill(4);
-    gone_for(&mut stage, &[0, 1, 2, 3], 4);
-    stage.start(4);
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.observed(4).memory, memory);
+fn a_killed_member_is_dead_for_all_and_returns_with_or_without_its_data_directory() {
+    let mut fleet = start_fleet();
+    let storage_id = fleet.observed(4).memory.clone();
+    fleet.kill(4);
+    expect_dead(&mut fleet, &[0, 1, 2, 3], 4);
+    fleet.start(4);
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    assert_eq!(fleet.observed(4).memory, storage_id);
     assert_eq!(
-        stage.observed(0).layout,
+        fleet.observed(0).layout,
         3,
-        "with its folder it is the holder that it was"
+        "with its data directory it remains the same holder"
     );
-    // With its folder gone it is another one: the old holder is voted out, the new one in.
-    stage.kill_and_erase(4);
-    stage.start(4);
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
-    assert_ne!(stage.observed(4).memory, memory);
-    assert_eq!(stage.observed(4).holders, 5);
-    sound(&mut stage, &[0, 1, 2, 3, 4]);
+    // Without its data directory it is a different holder: the old one is voted out, the new one in.
+    fleet.kill_and_erase(4);
+    fleet.start(4);
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 5);
+    assert_ne!(fleet.observed(4).memory, storage_id);
+    assert_eq!(fleet.observed(4).holders, 5);
+    assert_no_conflicts(&mut fleet, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn a_paused_member_declares_nobody_dead_and_is_superseded_by_a_second_of_its_name() {
-    let mut stage = five();
-    stage.signal(3, "-STOP");
-    gone_for(&mut stage, &[0, 1, 2, 4], 3);
-    stage.signal(3, "-CONT");
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    assert_eq!(stage.observed(3).count_with_status("gone"), 0);
-    assert_eq!(stage.member_counter(3, "called_gone"), 0);
-    assert!(stage.member_counter(3, "stood_still") > 0);
-    // As long as it is there a second process of its name is kept out; while it is stopped that one is taken in.
-    let twin = stage.start_duplicate(3);
-    stage.expect_state(twin, "its name is taken", |word| word.name_in_use);
-    assert!(!stage.observed(twin).admitted && !stage.observed(3).superseded);
-    stage.signal(3, "-STOP");
-    stage.expect_state(twin, "taken in", |word| word.admitted);
-    stage.signal(3, "-CONT");
-    stage.expect_state(3, "its end as a member", |word| word.superseded);
-    let life = stage.observed(twin).incarnation;
+fn a_paused_member_declares_nobody_dead_and_is_superseded_by_a_second_process_of_its_name() {
+    let mut fleet = start_fleet();
+    fleet.signal(3, "-STOP");
+    expect_dead(&mut fleet, &[0, 1, 2, 4], 3);
+    fleet.signal(3, "-CONT");
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    assert_eq!(fleet.observed(3).count_with_status("gone"), 0);
+    assert_eq!(fleet.member_counter(3, "called_gone"), 0);
+    assert!(fleet.member_counter(3, "stood_still") > 0);
+    // While the member runs, a second process with its name is not admitted; while it is paused, the second one is.
+    let duplicate = fleet.start_duplicate(3);
+    fleet.expect_state(duplicate, "its name in use", |state| state.name_in_use);
+    assert!(!fleet.observed(duplicate).admitted && !fleet.observed(3).superseded);
+    fleet.signal(3, "-STOP");
+    fleet.expect_state(duplicate, "admitted", |state| state.admitted);
+    fleet.signal(3, "-CONT");
+    fleet.expect_state(3, "superseded", |state| state.superseded);
+    let incarnation = fleet.observed(duplicate).incarnation;
     for p in [0, 1, 2, 4] {
-        stage.expect_state(p, "the second one alone", |word| {
-            word.statuses["n3"] == (life, "here".into())
+        fleet.expect_state(p, "only the second process", |state| {
+            state.statuses["n3"] == (incarnation, "here".into())
         });
     }
-    sound(&mut stage, &[0, 1, 2, 4]);
+    assert_no_conflicts(&mut fleet, &[0, 1, 2, 4]);
 }
 
 #[test]
-fn in_a_partition_the_larger_half_goes_on_and_in_a_one_way_partition_nobody_is_dead() {
-    let mut stage = five();
-    // One direction alone, and one pair alone: others vouch.
-    stage.link(0, 1).set(CUT);
-    stage.set_faults_between(&[2], &[4], CUT);
-    let asked = [
-        stage.member_counter(0, "heard"),
-        stage.member_counter(2, "heard"),
+fn in_a_partition_only_the_majority_changes_the_layout_and_in_a_one_way_partition_nobody_is_dead() {
+    let mut fleet = start_fleet();
+    // A single direction and a single pair are cut: the other members confirm that these are alive.
+    fleet.link(0, 1).set(PARTITIONED);
+    fleet.set_faults_between(&[2], &[4], PARTITIONED);
+    let received = [
+        fleet.member_counter(0, "heard"),
+        fleet.member_counter(2, "heard"),
     ];
-    // Long enough, in what they hear, for each to have been asked many times.
-    while stage.member_counter(0, "heard") < asked[0] + 120
-        || stage.member_counter(2, "heard") < asked[1] + 120
+    // Enough received messages for each to have been probed many times.
+    while fleet.member_counter(0, "heard") < received[0] + 120
+        || fleet.member_counter(2, "heard") < received[1] + 120
     {}
-    assert!((0..5).all(|p| stage.observed(p).count_with_status("gone") == 0));
-    stage.clear_faults();
-    stage.set_faults_between(&[0, 1], &[2, 3, 4], CUT);
-    gone_for(&mut stage, &[0, 1], 2);
-    gone_for(&mut stage, &[2, 3, 4], 0);
-    gone_for(&mut stage, &[2, 3, 4], 1);
-    // An operator's word to the smaller side changes nothing, to the larger it does.
-    let asked = stage.run_members_command(0, &["--remove", "n2"]);
-    assert!(asked.status.success());
-    let asked = stage.run_members_command(3, &["--remove", "n1"]);
+    assert!((0..5).all(|p| fleet.observed(p).count_with_status("gone") == 0));
+    fleet.clear_faults();
+    fleet.set_faults_between(&[0, 1], &[2, 3, 4], PARTITIONED);
+    expect_dead(&mut fleet, &[0, 1], 2);
+    expect_dead(&mut fleet, &[2, 3, 4], 0);
+    expect_dead(&mut fleet, &[2, 3, 4], 1);
+    // An operator's command has no effect on the minority side and takes effect on the majority side.
+    let output = fleet.run_members_command(0, &["--remove", "n2"]);
+    assert!(output.status.success());
+    let output = fleet.run_members_command(3, &["--remove", "n1"]);
     assert!(
-        asked.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&asked.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
     for p in [2, 3, 4] {
-        stage.expect_state(p, "a layout without n1", |word| {
-            word.layout == 4 && word.holders == 4
+        fleet.expect_state(p, "a layout without n1", |state| {
+            state.layout == 4 && state.holders == 4
         });
     }
-    assert_eq!((stage.observed(0).layout, stage.observed(1).layout), (3, 3));
-    stage.clear_faults();
-    // Both sides meet, and who was voted out is taken in again.
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 5);
-    sound(&mut stage, &[0, 1, 2, 3, 4]);
+    assert_eq!((fleet.observed(0).layout, fleet.observed(1).layout), (3, 3));
+    fleet.clear_faults();
+    // Once both sides are connected, the member that was voted out is admitted again.
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 5);
+    assert_no_conflicts(&mut fleet, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn lost_duplicated_late_reordered_and_corrupt_frames_change_nothing() {
-    let mut stage = five();
-    let rough = LinkFaults {
+    let mut fleet = start_fleet();
+    let faulty_link = LinkFaults {
         loss: 0.2,
         duplication: 0.3,
         reorder: 0.2,
@@ -180,13 +184,13 @@
         delay: Duration::from_millis(5),
         partitioned: false,
     };
-    stage.set_faults_between(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], rough);
+    fleet.set_faults_between(&[0, 1, 2, 3, 4], &[0, 1, 2, 3, 4], faulty_link);
     while (0..5).any(|p| {
-        let all = ["link.replayed", "link.unsealed"].map(|name| stage.member_counter(p, name));
+        let all = ["link.replayed", "link.unsealed"].map(|name| fleet.member_counter(p, name));
         all.contains(&0)
     }) {}
-    stage.clear_faults();
-    stage.set_faults_between(
+    fleet.clear_faults();
+    fleet.set_faults_between(
         &[0],
         &[1, 2, 3, 4],
         LinkFaults {
@@ -194,77 +198,77 @@
             ..LinkFaults::default()
         },
     );
-    stage.expect_state(1, "n0 doubted", |word| {
-        word.has_status("n0", "doubted") || word.has_status("n0", "gone")
+    fleet.expect_state(1, "n0 suspected", |state| {
+        state.has_status("n0", "doubted") || state.has_status("n0", "gone")
     });
-    stage.clear_faults();
-    stage.wait_for_layout(&[0, 1, 2, 3, 4], 3);
-    sound(&mut stage, &[0, 1, 2, 3, 4]);
+    fleet.clear_faults();
+    fleet.wait_for_layout(&[0, 1, 2, 3, 4], 3);
+    assert_no_conflicts(&mut fleet, &[0, 1, 2, 3, 4]);
 }
 
 #[test]
 fn keys_are_rotated_in_service_and_unknown_keys_are_rejected() {
-    let mut stage = five();
+    let mut fleet = start_fleet();
     let new = "8:ffeeddccbbaa99887766554433221100";
-    // Behind the old one at all, then first at two of five, then at all, then alone.
-    for (keys, who) in [
+    // The new key is added behind the old one everywhere, then comes first on two of five, then on all, then is alone.
+    for (keys, processes) in [
         (format!("{FLEET_KEY} {new}"), vec![0, 1, 2, 3, 4]),
         (format!("{new} {FLEET_KEY}"), vec![0, 1]),
         (format!("{new} {FLEET_KEY}"), vec![2, 3, 4]),
         (new.to_owned(), vec![0, 1, 2, 3, 4]),
     ] {
-        for p in who {
-            stage.keys[p] = keys.clone();
-            stage.write_operator_file(p);
-            stage.signal(p, "-HUP");
-            stage.gateway(p).wait_for_log("operator's file reloaded");
+        for p in processes {
+            fleet.keys[p] = keys.clone();
+            fleet.write_operator_file(p);
+            fleet.signal(p, "-HUP");
+            fleet.gateway(p).wait_for_log("operator's file reloaded");
         }
-        let heard: Vec<u64> = (0..5).map(|p| stage.member_counter(p, "heard")).collect();
-        while (0..5).any(|p| stage.member_counter(p, "heard") < heard[p] + 10) {}
+        let received: Vec<u64> = (0..5).map(|p| fleet.member_counter(p, "heard")).collect();
+        while (0..5).any(|p| fleet.member_counter(p, "heard") < received[p] + 10) {}
     }
     for p in 0..5 {
         assert_eq!(
             (
-                stage.member_counter(p, "link.unsealed"),
-                stage.member_counter(p, "called_gone")
+                fleet.member_counter(p, "link.unsealed"),
+                fleet.member_counter(p, "called_gone")
             ),
             (0, 0)
         );
     }
-    // Who has only the old key is heard by nobody, and sees the others go.
-    stage.keys[4] = FLEET_KEY.into();
-    stage.kill(4);
-    stage.start(4);
-    gone_for(&mut stage, &[0, 1, 2, 3], 4);
-    assert!(!stage.observed(4).admitted);
-    assert!((0..4).any(|p| stage.member_counter(p, "link.unsealed") > 0));
-    // A faulty file changes nothing and names its key.
-    stage.keys[0] = "nine".into();
-    stage.write_operator_file(0);
-    stage.signal(0, "-HUP");
-    let said = stage.gateway(0).wait_for_log("operator's file rejected");
-    assert!(said.contains("members.keys"), "{said}");
-    let asked = stage.run_members_command(4, &["--at", "127.0.0.1:1"]);
+    // A process with only the old key is rejected by all others, and declared dead.
+    fleet.keys[4] = FLEET_KEY.into();
+    fleet.kill(4);
+    fleet.start(4);
+    expect_dead(&mut fleet, &[0, 1, 2, 3], 4);
+    assert!(!fleet.observed(4).admitted);
+    assert!((0..4).any(|p| fleet.member_counter(p, "link.unsealed") > 0));
+    // An invalid file changes nothing, and the log line names the key.
+    fleet.keys[0] = "nine".into();
+    fleet.write_operator_file(0);
+    fleet.signal(0, "-HUP");
+    let line = fleet.gateway(0).wait_for_log("operator's file rejected");
+    assert!(line.contains("members.keys"), "{line}");
+    let output = fleet.run_members_command(4, &["--at", "127.0.0.1:1"]);
     assert!(
-        !asked.status.success()
-            && String::from_utf8_lossy(&asked.stderr).contains("nobody answers there")
+        !output.status.success()
+            && String::from_utf8_lossy(&output.stderr).contains("nobody answers there")
     );
 }
 
 #[test]
 fn members_prints_the_fleet_as_a_table_and_as_json() {
-    let mut stage = five_at(600);
-    stage.shut_down(2);
-    stage.expect_state(0, "n2 left", |word| word.has_status("n2", "left"));
-    let table = String::from_utf8(stage.run_members_command(0, &[]).stdout).unwrap();
+    let mut fleet = start_fleet_with_heartbeat(600);
+    fleet.shut_down(2);
+    fleet.expect_state(0, "n2 left", |state| state.has_status("n2", "left"));
+    let table = String::from_utf8(fleet.run_members_command(0, &[]).stdout).unwrap();
     assert!(
         table.starts_with("stand in, layout 3 with 5 holders"),
         "{table}"
     );
     assert_eq!(table.lines().count(), 7);
     let json: serde_json::Value =
-        serde_json::from_slice(&stage.run_members_command(0, &["--json"]).stdout).unwrap();
-    let told: Vec<String> = json["members"]
+        serde_json::from_slice(&fleet.run_members_command(0, &["--json"]).stdout).unwrap();
+    let rows: Vec<String> = json["members"]
         .as_array()
         .unwrap()
         .iter()
@@ -275,14 +279,14 @@
             )
         })
         .collect();
-    insta::assert_snapshot!(told.join("\n"));
-    let refused = stage.run_members_command(0, &["--remove", "n1"]);
+    insta::assert_snapshot!(rows.join("\n"));
+    let refused = fleet.run_members_command(0, &["--remove", "n1"]);
     assert!(String::from_utf8_lossy(&refused.stderr).contains("it is here: stop it first"));
 }
 
 #[test]
 fn without_a_members_block_nothing_listens_and_nothing_is_logged() {
-    let build = FleetConfig {
+    let fleet_config = FleetConfig {
         processes: 2,
         founders: 0,
         heartbeat_ms: 100,
@@ -296,14 +300,14 @@
         extra_hcl: String::new(),
         seed: 3,
     };
-    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
-    stage.start_all();
+    let mut fleet = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), fleet_config);
+    fleet.start_all();
     for p in 0..2 {
-        stage.signal(p, "-USR1");
-        stage.gateway(p).wait_for_log("\"peers\"");
-        // Listening sockets of the machine, and which of them are this process's: its own address alone.
-        let of = format!("/proc/{}", stage.gateway(p).child.id());
-        let table = std::fs::read_to_string(format!("{of}/net/tcp")).unwrap();
+        fleet.signal(p, "-USR1");
+        fleet.gateway(p).wait_for_log("\"peers\"");
+        // Of all listening sockets of the host only one belongs to this process: that of its own address.
+        let proc_dir = format!("/proc/{}", fleet.gateway(p).child.id());
+        let table = std::fs::read_to_string(format!("{proc_dir}/net/tcp")).unwrap();
         let fields = table
             .lines()
             .map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -311,7 +315,7 @@
             .filter(|f| f[3] == "0A")
             .map(|f| format!("socket:[{}]", f[9]))
             .collect();
-        let open = std::fs::read_dir(format!("{of}/fd")).unwrap();
+        let open = std::fs::read_dir(format!("{proc_dir}/fd")).unwrap();
         let links = open.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
         assert_eq!(
             links
@@ -320,7 +324,7 @@
             1
         );
         assert!(
-            !stage
+            !fleet
                 .gateway(p)
                 .log_lines
                 .borrow()
