--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -1,5 +1,7 @@
-//! What operators and their scripts rely on: subcommands, options, keys of the operator's file, and the names in what
-//! the program prints as JSON. All of it stays as the released program has it; more may stand beside it.
+//! The interface that operators and their scripts rely on.
+//!
+//! Subcommands, options, keys of the operator's file and field names in JSON output stay as in the released program.
+//! Additions are allowed.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -22,7 +24,7 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
-/// Every key of the operator's file with a value that it takes.
+/// An operator's file that sets every key to a valid value.
 const EVERY_KEY: &str = r#"slow {
   caps        = true
   least_rate  = "8KiB/s"
@@ -83,23 +85,23 @@
 }
 "#;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_temp_file(name: &str, text: &str) -> PathBuf {
     let path =
         std::env::temp_dir().join(format!("leverpoint-surface-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn program(words: &[&str]) -> Output {
-    output(Command::new(env!("CARGO_BIN_EXE_leverpoint")).args(words))
+fn run_program(args: &[&str]) -> Output {
+    output(Command::new(env!("CARGO_BIN_EXE_leverpoint")).args(args))
 }
 
-fn stdout(words: &[&str]) -> String {
-    String::from_utf8(program(words).stdout).unwrap()
+fn stdout_of(args: &[&str]) -> String {
+    String::from_utf8(run_program(args).stdout).unwrap()
 }
 
-/// What `check` makes of an operator's file: nothing to say, or the one line of its fault without the file's name.
-fn checked(name: &str, operator: &str) -> Result<(), String> {
+/// Runs `check` on an operator's file. The error is the line that `check` prints, with the file's path replaced by `FILE`.
+fn check_operator_file(name: &str, operator: &str) -> Result<(), String> {
     let text = config(
         "127.0.0.1:6432",
         "127.0.0.1:8500",
@@ -107,24 +109,24 @@
         SETTINGS,
     );
     let (settings, operator) = (
-        file(&format!("{name}.json"), &text),
-        file(&format!("{name}.hcl"), operator),
+        write_temp_file(&format!("{name}.json"), &text),
+        write_temp_file(&format!("{name}.hcl"), operator),
     );
     let path = |path: &Path| path.to_str().unwrap().to_owned();
-    let out = program(&["check", &path(&settings), "--operator", &path(&operator)]);
-    let said = String::from_utf8(out.stderr)
+    let output_of_check = run_program(&["check", &path(&settings), "--operator", &path(&operator)]);
+    let stderr = String::from_utf8(output_of_check.stderr)
         .unwrap()
         .replace(&path(&operator), "FILE");
     std::fs::remove_file(settings).unwrap();
     std::fs::remove_file(operator).unwrap();
-    if out.status.success() {
+    if output_of_check.status.success() {
         Ok(())
     } else {
-        Err(said.trim_end().to_owned())
+        Err(stderr.trim_end().to_owned())
     }
 }
 
-/// What `check` prints of a configuration with every key of the operator's file.
+/// Guards the output of `check` for a configuration with every key of the operator's file.
 #[test]
 fn check_prints_the_text_that_the_released_program_prints() {
     let text = config(
@@ -133,8 +135,11 @@
         &endpoint_list(7, true, &[]),
         SETTINGS,
     );
-    let (settings, operator) = (file("printed.json", &text), file("printed.hcl", EVERY_KEY));
-    let printed = stdout(&[
+    let (settings, operator) = (
+        write_temp_file("printed.json", &text),
+        write_temp_file("printed.hcl", EVERY_KEY),
+    );
+    let printed = stdout_of(&[
         "check",
         settings.to_str().unwrap(),
         "--operator",
@@ -145,13 +150,13 @@
     insta::assert_snapshot!(printed);
 }
 
-/// Every key of the file as the schema has it, with its type.
-fn keys_of_schema() -> BTreeMap<String, String> {
-    let schema: Value = serde_json::from_str(&stdout(&["check", "--schema"])).unwrap();
+/// Every key of the operator's file as `block.key`, with its type in the schema.
+fn schema_keys() -> BTreeMap<String, String> {
+    let schema: Value = serde_json::from_str(&stdout_of(&["check", "--schema"])).unwrap();
     let mut keys = BTreeMap::new();
-    for (block, of_block) in schema["properties"].as_object().unwrap() {
-        for (key, of_key) in of_block["properties"].as_object().unwrap() {
-            keys.insert(format!("{block}.{key}"), of_key["type"].to_string());
+    for (block, block_schema) in schema["properties"].as_object().unwrap() {
+        for (key, key_schema) in block_schema["properties"].as_object().unwrap() {
+            keys.insert(format!("{block}.{key}"), key_schema["type"].to_string());
         }
     }
     keys
@@ -159,16 +164,16 @@
 
 #[test]
 fn check_takes_every_key_of_the_operators_file() {
-    assert_eq!(checked("every", EVERY_KEY), Ok(()));
-    let keys = keys_of_schema();
-    let written = EVERY_KEY
+    assert_eq!(check_operator_file("every", EVERY_KEY), Ok(()));
+    let keys = schema_keys();
+    let keys_in_file = EVERY_KEY
         .lines()
         .filter(|line| line.starts_with("  "))
         .count();
     assert_eq!(
         keys.len(),
-        written,
-        "each key of the schema stands in the file that is checked"
+        keys_in_file,
+        "the checked file sets each key of the schema"
     );
     let lines: Vec<String> = keys
         .iter()
@@ -178,18 +183,18 @@
 }
 
 #[test]
-fn check_names_every_key_that_has_a_value_it_cannot_have() {
+fn check_names_every_key_with_an_invalid_value() {
     let mut lines = Vec::new();
-    for key in keys_of_schema().into_keys() {
+    for key in schema_keys().into_keys() {
         let (block, name) = key.split_once('.').unwrap();
         let text = format!("{block} {{\n  {name} = [[1]]\n}}\n");
-        lines.push(checked("faulty", &text).expect_err(&key));
+        lines.push(check_operator_file("faulty", &text).expect_err(&key));
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// The names of commands or options in a help text.
-fn named(help: &str) -> Vec<&str> {
+/// The commands or options that a help text lists.
+fn listed_names(help: &str) -> Vec<&str> {
     let lines = help.lines().filter(|line| line.starts_with("    "));
     lines
         .filter_map(|line| line.trim_start().split("  ").next())
@@ -197,7 +202,7 @@
 }
 
 #[test]
-fn every_subcommand_and_option_has_its_name() {
+fn subcommand_and_option_names_are_stable() {
     let commands: [&[&str]; 7] = [
         &["--help"],
         &["serve", "--help"],
@@ -207,15 +212,20 @@
         &["version", "--help"],
         &["check", "--help"],
     ];
-    let line =
-        |words: &&[&str]| format!("{}: {}", words.join(" "), named(&stdout(words)).join(" | "));
+    let line = |args: &&[&str]| {
+        format!(
+            "{}: {}",
+            args.join(" "),
+            listed_names(&stdout_of(args)).join(" | ")
+        )
+    };
     insta::assert_snapshot!(commands.iter().map(line).collect::<Vec<_>>().join("\n"));
-    assert!(stdout(&["version"]).starts_with("leverpoint "));
+    assert!(stdout_of(&["version"]).starts_with("leverpoint "));
 }
 
 #[test]
-fn what_a_member_holds_has_its_names_in_json() {
-    let counts = ReplicationCounters {
+fn replication_status_field_names_in_json_are_stable() {
+    let replication_counters = ReplicationCounters {
         quorum_writes: 1,
         writes_without_quorum: 2,
         rejected_writes: 3,
@@ -232,7 +242,7 @@
         messages_received: 14,
         invalid_messages: 15,
     };
-    let look = ReplicationStatus {
+    let status = ReplicationStatus {
         layout_version: 4,
         oldest_layout_version: 3,
         layouts_known: true,
@@ -249,28 +259,28 @@
         serving_without_quorum: false,
         unaccounted_members: vec!["n4".into()],
         last_repair: Some(16_000),
-        counters: counts,
+        counters: replication_counters,
     };
-    insta::assert_snapshot!(serde_json::to_string(&look).unwrap());
+    insta::assert_snapshot!(serde_json::to_string(&status).unwrap());
 }
 
-/// The names in a value of JSON, without what stands under them.
-fn names(value: &Value) -> String {
+/// The field names of a JSON value, without the values; an array is represented by its first element.
+fn field_names(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
             let fields = fields
                 .iter()
-                .map(|(name, value)| format!("{name}{}", names(value)));
+                .map(|(name, value)| format!("{name}{}", field_names(value)));
             format!("{{{}}}", fields.collect::<Vec<_>>().join(" "))
         }
-        Value::Array(items) => format!("[{}]", items.first().map(names).unwrap_or_default()),
+        Value::Array(items) => format!("[{}]", items.first().map(field_names).unwrap_or_default()),
         _ => String::new(),
     }
 }
 
 #[test]
-fn members_and_copies_print_json_with_these_names() {
-    let build = FleetConfig {
+fn members_and_copies_json_field_names_are_stable() {
+    let fleet_config = FleetConfig {
         processes: 3,
         founders: 3,
         heartbeat_ms: 100,
@@ -285,19 +295,19 @@
             .into(),
         seed: 5,
     };
-    let mut stage = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), build);
-    stage.start_all();
-    stage.wait_for_layout(&[0, 1, 2], 1);
-    stage.wait_until_settled(0);
+    let mut fleet = GatewayFleet::new(Path::new(env!("CARGO_BIN_EXE_leverpoint")), fleet_config);
+    fleet.start_all();
+    fleet.wait_for_layout(&[0, 1, 2], 1);
+    fleet.wait_until_settled(0);
     let mut lines = Vec::new();
-    for words in [
+    for args in [
         &["members", "--json"][..],
         &["copies", "--json"],
         &["copies", "verify", "--json"],
     ] {
-        let out = stage.run_command(0, words).stdout;
+        let out = fleet.run_command(0, args).stdout;
         let json: Value = serde_json::from_slice(&out).unwrap();
-        lines.push(format!("{}: {}", words.join(" "), names(&json)));
+        lines.push(format!("{}: {}", args.join(" "), field_names(&json)));
     }
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers on bytes split everywhere and on what no peer should send.
+//! The parsers, given messages split at every position and invalid input.
 
 use leverpoint_engine::UNRESERVED_BYTES;
 use leverpoint_gateway::discovery::endpoint_list::parse_endpoint_list;
@@ -6,7 +6,7 @@
 use leverpoint_gateway::postgres::messages::{self, DecodeResult};
 use leverpoint_gateway::postgres::query_comment;
 
-/// All messages that come out of the bytes, put in as two pieces split at `at`.
+/// Decodes the bytes, received as two pieces split at `at`; returns every message and error.
 fn messages(bytes: &[u8], at: usize) -> Vec<DecodeResult> {
     let mut ring = RingBuffer::default();
     let mut out = Vec::new();
@@ -49,24 +49,24 @@
 #[test]
 fn a_ring_buffer_keeps_order_across_its_end_and_its_bound() {
     let mut ring = RingBuffer::default();
-    let (mut put, mut taken) = (0u32, 0u32);
-    // Lengths without a common measure with the ring's size, so that every seam is met.
+    let (mut pushed, mut taken) = (0u32, 0u32);
+    // Lengths that do not divide the ring's size, so that pieces wrap around at every position.
     for step in 0..5000 {
-        let piece: Vec<u8> = (0..step % 37).map(|i| ((put + i) % 251) as u8).collect();
-        put += ring.push(&piece) as u32;
+        let piece: Vec<u8> = (0..step % 37).map(|i| ((pushed + i) % 251) as u8).collect();
+        pushed += ring.push(&piece) as u32;
         let n = ring.len().min(step as usize % 41);
         for byte in ring.take(n) {
             assert_eq!(byte, (taken % 251) as u8);
             taken += 1;
         }
     }
-    assert_eq!(taken + ring.len() as u32, put);
-    let much = vec![7; 2 * UNRESERVED_BYTES];
-    let more = ring.push(&much);
+    assert_eq!(taken + ring.len() as u32, pushed);
+    let oversized = vec![7; 2 * UNRESERVED_BYTES];
+    let accepted = ring.push(&oversized);
     assert_eq!(
-        (ring.len(), ring.push(&much)),
+        (ring.len(), ring.push(&oversized)),
         (UNRESERVED_BYTES, 0),
-        "{more}"
+        "{accepted}"
     );
 }
 
@@ -116,7 +116,7 @@
     ]
     .map(String::from)
     .into();
-    // The same with one thing changed.
+    // The same statements with one part changed.
     let changed = [
         ("7f3a", "7f'3a"),
         ("7f3a", ""),
@@ -144,7 +144,7 @@
         ("cluster=2", "cluster=2,x=y"),
         ("cluster=2", "cluster=2,r=2"),
     ];
-    texts.extend(changed.map(|(what, to)| read.replacen(what, to, 1)));
+    texts.extend(changed.map(|(from, replacement)| read.replacen(from, replacement, 1)));
     let changed = [
         ("9f", "9"),
         ("9f", "9g"),
@@ -152,7 +152,7 @@
         ("RETURNING v ", ""),
         ("'5c', ", "'5c', '5d', "),
     ];
-    texts.extend(changed.map(|(what, to)| write.replacen(what, to, 1)));
+    texts.extend(changed.map(|(from, replacement)| write.replacen(from, replacement, 1)));
     let mut trace = String::new();
     for text in texts {
         trace += &format!("{text}\n    {:?}\n", query_comment::parse_query(&text));
@@ -187,12 +187,12 @@
         .unwrap()
         .replace('\n', "\r\n\t ")
         + "\r\n\r\n";
-    let told = parse_endpoint_list(plain.as_bytes()).unwrap();
+    let parsed = parse_endpoint_list(plain.as_bytes()).unwrap();
     assert_eq!(
-        (told.revision, told.full, told.entries.len()),
+        (parsed.revision, parsed.full, parsed.entries.len()),
         (41, true, 2)
     );
-    assert_eq!(parse_endpoint_list(indented.as_bytes()), Some(told));
+    assert_eq!(parse_endpoint_list(indented.as_bytes()), Some(parsed));
     for cut in 0..plain.len() {
         assert_eq!(
             parse_endpoint_list(&plain.as_bytes()[..cut]),
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -1,4 +1,5 @@
-//! A session's own write is seen through a gateway that has never met it, and after a restart, while replicas lag.
+//! A session reads its own writes through a gateway that has no state of the session, and after a restart, while replicas
+//! lag.
 
 use std::path::Path;
 use std::time::Duration;
@@ -24,8 +25,8 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 1000.0}]}"#;
 
-/// A set whose replicas are ten minutes behind, so that only its primary has what was written just now.
-fn set() -> (std::sync::Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
+/// Starts a replica set whose replicas lag by ten minutes, so that only the primary has a recent write.
+fn start_lagging_replica_set() -> (std::sync::Arc<ReplicaSet>, Vec<ReplicaSetMember>, String) {
     start_replica_set(
         ReplicaSetConfig {
             replication_lag: 6_000_000,
@@ -36,114 +37,116 @@
     )
 }
 
-fn start(known: &str, operator: &Path) -> Gateway {
+fn start(known: &str, operator_file: &Path) -> Gateway {
     let (agent, address) = (start_agent(), gateway::free_address());
     agent.responses.send(http_ok(known)).unwrap();
     let text = gateway::config(&address, &agent.address, known, SETTINGS);
-    let words = ["--operator", operator.to_str().unwrap()];
+    let args = ["--operator", operator_file.to_str().unwrap()];
     gateway::start(
         &text,
         address,
         agent,
         Path::new(env!("CARGO_BIN_EXE_leverpoint")),
-        &words,
+        &args,
     )
 }
 
-fn file(name: &str, text: &str) -> std::path::PathBuf {
+fn write_temp_file(name: &str, text: &str) -> std::path::PathBuf {
     let path =
         std::env::temp_dir().join(format!("leverpoint-sessions-{}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn write(id: &str) -> String {
+fn write_statement(id: &str) -> String {
     format!(
         "INSERT INTO records (k, v) VALUES ('64-p', '\\x9f') RETURNING v /* id={id},c=report,t=acme,d=20000,k={id},cluster=2 */"
     )
 }
 
-fn read(id: &str, after: &str) -> String {
+fn read_statement(id: &str, extra: &str) -> String {
     format!(
-        "SELECT v FROM records WHERE k = '64-p' /* id={id},c=own,t=acme,d=20000,cluster=2{after} */"
+        "SELECT v FROM records WHERE k = '64-p' /* id={id},c=own,t=acme,d=20000,cluster=2{extra} */"
     )
 }
 
 #[test]
 fn a_gateway_new_to_a_session_reads_its_writes() {
-    let (set, _members, known) = set();
-    let follows = file("follow.hcl", "sessions {\n  follow = true\n}\n");
-    let (one, other) = (start(&known, &follows), start(&known, &follows));
+    let (set, _members, known) = start_lagging_replica_set();
+    let operator_file = write_temp_file("follow.hcl", "sessions {\n  follow = true\n}\n");
+    let (first, second) = (start(&known, &operator_file), start(&known, &operator_file));
     assert!(
-        one.connect_client()
-            .run_statement(&write("w1"))
+        first
+            .connect_client()
+            .run_statement(&write_statement("w1"))
             .starts_with('T')
     );
-    drop(one);
+    drop(first);
     assert!(
-        other
+        second
             .connect_client()
-            .run_statement(&read("r1", ""))
+            .run_statement(&read_statement("r1", ""))
             .starts_with('T')
     );
     let row = set.take_read_origin("r1").unwrap();
     assert!(row.position >= set.last_write_position("64-p").unwrap() && row.by_primary);
-    let again = start(&known, &follows);
+    let third = start(&known, &operator_file);
     assert!(
-        again
+        third
             .connect_client()
-            .run_statement(&read("r2", ""))
+            .run_statement(&read_statement("r2", ""))
             .starts_with('T')
     );
     assert!(
         set.take_read_origin("r2").unwrap().position >= set.last_write_position("64-p").unwrap()
     );
     assert_eq!(
-        other.shut_down(&["answered", "failed", "throttled"]),
+        second.shut_down(&["answered", "failed", "throttled"]),
         "answered=1 failed=0 throttled=0 "
     );
-    std::fs::remove_file(follows).unwrap();
+    std::fs::remove_file(operator_file).unwrap();
 }
 
 #[test]
 fn session_positions_are_recovered_after_an_orderly_shutdown() {
-    let (set, _members, known) = set();
+    let (set, _members, known) = start_lagging_replica_set();
     let folder =
         std::env::temp_dir().join(format!("leverpoint-sessions-disk-{}", std::process::id()));
     let text = format!(
         "sessions {{\n  follow = true\n  alone = true\n  number = \"8c1f30d27a5be964\"\n  disk = \"{}\"\n}}\n",
         folder.display()
     );
-    let follows = file("disk.hcl", &text);
-    let one = start(&known, &follows);
+    let operator_file = write_temp_file("disk.hcl", &text);
+    let first = start(&known, &operator_file);
     assert!(
-        one.connect_client()
-            .run_statement(&write("w1"))
+        first
+            .connect_client()
+            .run_statement(&write_statement("w1"))
             .starts_with('T')
     );
-    one.shut_down(&[]);
-    let other = start(&known, &follows);
-    let said = other.log_lines.borrow().join("\n");
+    first.shut_down(&[]);
+    let second = start(&known, &operator_file);
+    let log = second.log_lines.borrow().join("\n");
     assert!(
-        said.contains("\"many\"=1") || said.contains("many=1") || said.contains("many=\"1\""),
-        "{said}"
+        log.contains("\"many\"=1") || log.contains("many=1") || log.contains("many=\"1\""),
+        "{log}"
     );
-    // Who has written is owed that, exactly; who has not is owed nothing, so a replica answers.
+    // A session that has written gets at least its write, from the primary; one that has not written may read from a replica.
     assert!(
-        other
+        second
             .connect_client()
-            .run_statement(&read("r1", ""))
+            .run_statement(&read_statement("r1", ""))
             .starts_with('T')
     );
     assert!(set.take_read_origin("r1").unwrap().by_primary);
     assert!(
-        other
+        second
             .connect_client()
-            .run_statement(&read("r2", "").replace("64-p", "64-q"))
+            .run_statement(&read_statement("r2", "").replace("64-p", "64-q"))
             .starts_with('T')
     );
     assert!(!set.take_read_origin("r2").unwrap().by_primary);
-    drop(other);
-    std::fs::remove_file(follows).unwrap();
+    drop(second);
+    std::fs::remove_file(operator_file).unwrap();
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! Folders that the released program has written, read by this one: what was stored is still found, whatever the types
-//! are called here.
+//! Data directories that the released program has written are read by this one, whatever the types are called here.
 //!
-//! `stored/sessions`: five sessions wrote, the process was killed and started, five wrote, it was killed; the last
-//! record of the log lacks its last bytes. `stored/member`: the folder of that process as a member and as a holder.
+//! `stored/sessions`: five sessions wrote, the process was killed and restarted, five sessions wrote, and it was killed
+//! again; the last record of the log lacks its last bytes. `stored/member`: the data of the same process as a fleet member
+//! and as a replica holder.
 
 use std::path::{Path, PathBuf};
 
@@ -10,11 +10,11 @@
 use leverpoint_replication::{PersistedMetadata, Record};
 use leverpoint_storage::{Directory, LogLimits, RecoveredLog, SegmentedLog, snapshot};
 
-/// A copy of a stored folder, so that what is read here stays as it is.
-struct Stored(PathBuf);
+/// A temporary copy of a stored data directory, so that opening it does not change the original; removed on drop.
+struct StoredCopy(PathBuf);
 
-impl Stored {
-    fn copy(name: &str) -> Stored {
+impl StoredCopy {
+    fn new(name: &str) -> StoredCopy {
         let from = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/stored")
             .join(name);
@@ -30,17 +30,17 @@
                 std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
             }
         }
-        Stored(to)
+        StoredCopy(to)
     }
 
-    fn recovered(&self) -> RecoveredLog {
+    fn recover_log(&self) -> RecoveredLog {
         SegmentedLog::open(Directory::open(&self.0).unwrap(), LogLimits::default())
             .unwrap()
             .1
     }
 }
 
-impl Drop for Stored {
+impl Drop for StoredCopy {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -48,34 +48,34 @@
 
 #[test]
 fn session_positions_are_recovered_up_to_the_torn_record() {
-    let read = Stored::copy("sessions").recovered();
-    let mut lines: Vec<String> = read
+    let log = StoredCopy::new("sessions").recover_log();
+    let mut lines: Vec<String> = log
         .positions
         .iter()
-        .map(|(session, at)| format!("session {session:016x} at {at}"))
+        .map(|(session, position)| format!("session {session:016x} at {position}"))
         .collect();
     lines.extend(
-        read.torn_records
+        log.torn_records
             .iter()
             .map(|torn| format!("torn {} at {}", torn.file, torn.offset)),
     );
     lines.push(format!(
         "until {}, closed {}",
-        read.complete_until, read.closed_cleanly
+        log.complete_until, log.closed_cleanly
     ));
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
 fn persisted_member_state_is_recovered() {
-    let folder = Stored::copy("member");
+    let directory = StoredCopy::new("member");
     let snapshot::SnapshotRead::Complete(value) =
-        snapshot::read(&mut Directory::open(&folder.0).unwrap()).unwrap()
+        snapshot::read(&mut Directory::open(&directory.0).unwrap()).unwrap()
     else {
-        panic!("the note is whole");
+        panic!("the member state is not complete");
     };
-    let kept = decode_state(&value).expect("a member's note");
-    let holders = kept
+    let state = decode_state(&value).expect("the member state does not decode");
+    let holders = state
         .layout
         .holders
         .iter()
@@ -83,40 +83,40 @@
         .collect::<Vec<_>>();
     insta::assert_snapshot!(format!(
         "life {}, memory {:016x}, layout {} of {}, digest {:016x}, round {}, accepted {}",
-        kept.incarnation.number,
-        kept.incarnation.storage_id,
-        kept.layout.version,
+        state.incarnation.number,
+        state.incarnation.storage_id,
+        state.layout.version,
         holders.join(" "),
-        kept.layout.digest(),
-        kept.acceptor.promised.round,
-        kept.acceptor.accepted.is_some(),
+        state.layout.digest(),
+        state.acceptor.promised.round,
+        state.acceptor.accepted.is_some(),
     ));
 }
 
 #[test]
 fn persisted_replicated_records_are_recovered() {
-    let read = Stored::copy("member/copies").recovered();
-    let (meta, records): (Vec<_>, Vec<_>) = read
+    let log = StoredCopy::new("member/copies").recover_log();
+    let (meta, records): (Vec<_>, Vec<_>) = log
         .replicated_records
         .iter()
         .partition(|(key, _)| **key == 0);
-    let (memory, meta): (u64, PersistedMetadata) = postcard::from_bytes(&meta[0].1.1).unwrap();
+    let (storage_id, meta): (u64, PersistedMetadata) = postcard::from_bytes(&meta[0].1.1).unwrap();
     let versions: Vec<u64> = meta.layouts.iter().map(|layout| layout.version).collect();
     let mut lines = vec![format!(
-        "memory {memory:016x}, floor {}, layouts {versions:?}",
+        "memory {storage_id:016x}, floor {}, layouts {versions:?}",
         meta.low_watermark
     )];
-    for (key, (at, value)) in records {
+    for (key, (last_touched, value)) in records {
         let record: Record = postcard::from_bytes(value).unwrap();
         assert_eq!(
             (record.key.hash(), record.last_touched(), record.is_valid()),
-            (*key, *at, true)
+            (*key, *last_touched, true)
         );
         lines.push(format!(
-            "record {key:016x}, last touched {at}, digest {:016x}",
+            "record {key:016x}, last touched {last_touched}, digest {:016x}",
             record.digest()
         ));
     }
-    lines.push(format!("torn {}", read.torn_records.len()));
+    lines.push(format!("torn {}", log.torn_records.len()));
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -1,4 +1,5 @@
-//! The exchange on a long day of ever new ids, in time that only passes when nothing else is to be done.
+//! The engine's tables under a long run of requests that each carry a new id, in tokio's paused time, which advances only
+//! when all tasks are idle.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -28,7 +29,7 @@
      {"name": "order", "aimMs": 400.0, "deadlineMs": 2000.0, "semantics": "side_effect", "worth": 3.0}],
     "policyLimits": {"sendCap": 4, "connectTimeoutMs": 250.0, "idleCloseMs": 15000.0}}"#;
 
-fn caps() -> Limits {
+fn limits() -> Limits {
     let (memory, descriptors) = (32 << 20, 1_024);
     Limits::from_resources(&ProcessResources {
         memory,
@@ -39,19 +40,19 @@
     })
 }
 
-/// Answers each dispatch after 20 ms; the first of every set says it is the primary.
+/// Answers each attempt after 20 ms as the primary; records the servers whose idle connections are closed.
 #[derive(Default)]
-struct Answers {
-    let_go: RefCell<BTreeSet<usize>>,
+struct DelayedExecutor {
+    closed_servers: RefCell<BTreeSet<usize>>,
 }
 
-impl AttemptExecutor for Answers {
-    fn execute(self: Rc<Self>, order: Attempt) {
+impl AttemptExecutor for DelayedExecutor {
+    fn execute(self: Rc<Self>, attempt: Attempt) {
         spawn_local(async move {
             sleep(Duration::from_millis(20)).await;
-            order.on_row_complete(Row::default());
+            attempt.on_row_complete(Row::default());
             let position = Some(0.0);
-            order.finish(
+            attempt.finish(
                 AttemptOutcome::Answered,
                 Some(ReportedParameters {
                     primary: Some(true),
@@ -62,17 +63,17 @@
     }
 
     fn close_idle_connections(&self, server: usize) {
-        self.let_go.borrow_mut().insert(server);
+        self.closed_servers.borrow_mut().insert(server);
     }
 }
 
-fn entry(nth: usize, phase: EndpointState) -> EndpointEntry {
+fn entry(nth: usize, endpoint_state: EndpointState) -> EndpointEntry {
     EndpointEntry {
         uid: format!("s-{nth}"),
         address: Some(([127, 0, 0, 1], 5432).into()),
         zone: String::new(),
         set: 2,
-        state: phase,
+        state: endpoint_state,
         primary: true,
         size: 1.0,
         started_ms: 0.0,
@@ -86,37 +87,37 @@
         .start_paused(true)
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
-        let opened = settings::parse(7, SETTINGS.as_bytes()).unwrap();
-        let counters = Rc::new(metrics::Metrics::new(&opened.classes));
+        let parsed_settings = settings::parse(7, SETTINGS.as_bytes()).unwrap();
+        let counters = Rc::new(metrics::Metrics::new(&parsed_settings.classes));
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let exchange = Engine::new(opened, counters, None, log.clone());
-        let peer = ClientConnections::new(caps(), 2, 1, 7, log).register(WeakStream::None);
-        let answers = Rc::new(Answers::default());
-        exchange.set_executor(answers.clone());
-        spawn_local(exchange.clone().run_timers());
-        let mut most = 0;
-        // A new server every half second, a new session and a new id with each command.
+        let engine = Engine::new(parsed_settings, counters, None, log.clone());
+        let connection = ClientConnections::new(limits(), 2, 1, 7, log).register(WeakStream::None);
+        let executor = Rc::new(DelayedExecutor::default());
+        engine.set_executor(executor.clone());
+        spawn_local(engine.clone().run_timers());
+        let mut max_servers = 0;
+        // A new server every half second, a new session and a new id with each request.
         for nth in 0..2000 {
             let changes = [entry(nth, EndpointState::Ready), entry(nth.wrapping_sub(1), EndpointState::Gone)];
-            exchange.on_endpoint_list(EndpointUpdate::Changes, 0, &changes[..1 + usize::from(nth > 0)]);
+            engine.on_endpoint_list(EndpointUpdate::Changes, 0, &changes[..1 + usize::from(nth > 0)]);
             for part in 0..2 {
                 let text = format!(
                     "INSERT INTO records (k, v) VALUES ('s{nth}-{part}', '\\x9f') RETURNING v /* id={nth}-{part},c=order,d=900,cluster=2 */"
                 );
-                let Ok(Query::Request(said)) = query_comment::parse_query(&text) else { panic!("{text}") };
-                let ticket = exchange.on_request(&said, &text, now(), &peer).unwrap_or_else(|e| panic!("{e:?}"));
-                assert!(matches!(ticket.await, FinalAnswer::Answered(_)), "{text}");
+                let Ok(Query::Request(request)) = query_comment::parse_query(&text) else { panic!("{text}") };
+                let answer = engine.on_request(&request, &text, now(), &connection).unwrap_or_else(|e| panic!("{e:?}"));
+                assert!(matches!(answer.await, FinalAnswer::Answered(_)), "{text}");
             }
             sleep(Duration::from_millis(460)).await;
-            most = most.max(exchange.table_sizes()[0].1);
+            max_servers = max_servers.max(engine.table_sizes()[0].1);
         }
-        // Those of the last half minute at most, and the one that is there.
-        assert!(most < 70, "{most} servers at once");
+        // At most the servers of the last half minute, and the current one.
+        assert!(max_servers < 70, "{max_servers} servers at once");
         sleep(Duration::from_secs(40)).await;
-        exchange.on_endpoint_list(EndpointUpdate::Changes, 0, &[]);
-        let held = exchange.table_sizes();
-        assert!(held[1].1 < 70 && answers.let_go.borrow().len() < 70, "{held:?}");
-        assert_eq!((held[0], held[4]), (("servers", 1), ("open_ids", 0)), "{held:?}");
-        assert!(held[2].1 <= 1 && held[3].1 <= 2 && held[5].1 <= 1, "{held:?}");
+        engine.on_endpoint_list(EndpointUpdate::Changes, 0, &[]);
+        let sizes = engine.table_sizes();
+        assert!(sizes[1].1 < 70 && executor.closed_servers.borrow().len() < 70, "{sizes:?}");
+        assert_eq!((sizes[0], sizes[4]), (("servers", 1), ("open_ids", 0)), "{sizes:?}");
+        assert!(sizes[2].1 <= 1 && sizes[3].1 <= 2 && sizes[5].1 <= 1, "{sizes:?}");
     });
 }
--- a/crates/gateway/tests/wire_bytes.rs
+++ b/crates/gateway/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The bytes on the wires to clients, servers and discovery, and of what clients carry, as the released program writes
-//! them.
+//! The bytes that are sent to clients, servers and discovery, and the text of session tokens, as the released program
+//! writes them.
 
 use std::path::Path;
 
@@ -30,19 +30,17 @@
         hex(&messages::startup_response(0, None)),
         hex(&messages::startup_response(2, Some([7; 8]))),
     ];
-    let mut appended = |write: &dyn Fn(&mut Vec<u8>)| {
+    let mut append = |write: &dyn Fn(&mut Vec<u8>)| {
         let mut bytes = Vec::new();
         write(&mut bytes);
         out.push(hex(&bytes));
     };
-    appended(&|bytes| messages::put_ready_for_query(bytes));
-    appended(&|bytes| {
-        messages::put_error_response(bytes, false, "53300", "throttled", Some("120"))
-    });
-    appended(&|bytes| messages::put_error_response(bytes, true, "08P01", "bad length", None));
-    appended(&|bytes| messages::put_notice_response(bytes, "token", "abc"));
-    appended(&|bytes| bytes.extend(messages::startup_message()));
-    appended(&|bytes| messages::put_message(bytes, b'Q', &[b"SELECT", b"\0"]));
+    append(&|bytes| messages::put_ready_for_query(bytes));
+    append(&|bytes| messages::put_error_response(bytes, false, "53300", "throttled", Some("120")));
+    append(&|bytes| messages::put_error_response(bytes, true, "08P01", "bad length", None));
+    append(&|bytes| messages::put_notice_response(bytes, "token", "abc"));
+    append(&|bytes| bytes.extend(messages::startup_message()));
+    append(&|bytes| messages::put_message(bytes, b'Q', &[b"SELECT", b"\0"]));
     insta::assert_snapshot!(out.join("\n"));
 }
 
@@ -65,20 +63,20 @@
     insta::assert_snapshot!(text);
 }
 
-/// The first two calls of a gateway that has a list from before and gets no answer.
+/// The first two calls of a gateway that starts with a stored endpoint list and gets no response.
 fn first_calls(discovery: &str) -> Vec<String> {
-    let held = ManualAgent::new();
+    let agent = ManualAgent::new();
     let address = free_address();
     let settings = SETTINGS.replace("DISCOVERY", discovery);
     let text = config(
         &address,
-        &held.address,
+        &agent.address,
         &endpoint_list(7, true, &[]),
         &settings,
     );
     let program = Path::new(env!("CARGO_BIN_EXE_leverpoint"));
-    let _gateway = start(&text, address, held.agent(), program, &[]);
-    (0..2).map(|_| held.next_request().line).collect()
+    let _gateway = start(&text, address, agent.agent(), program, &[]);
+    (0..2).map(|_| agent.next_request().line).collect()
 }
 
 #[test]
