--- a/crates/gateway/tests/pipelined.rs
+++ b/crates/gateway/tests/pipelined.rs
@@ -1,5 +1,5 @@
-//! Commands sent ahead of the answers before them: each that was taken gets one whole answer in its client's time, by
-//! real connections of the real program. docs/races.md has a row for each.
+//! Pipelined requests on real connections: each accepted request gets exactly one complete answer within its client
+//! timeout. docs/races.md has a row for each case.
 
 use std::io::Write;
 use std::path::Path;
@@ -8,21 +8,21 @@
 
 use leverpoint_gateway::io::receive_times::ReceiveTimes;
 use leverpoint_test_support::client::Client;
-use leverpoint_test_support::gateway::{self as stands, Gateway, config, free_address};
+use leverpoint_test_support::gateway::{self as gateway_process, Gateway, config, free_address};
 use leverpoint_test_support::manual::{ManualAgent, ManualServer, full_endpoint_list};
 use leverpoint_test_support::server::{
     ServerAction, always_row, next_statement, row_on_signal, start_server,
 };
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, deadline_ms, http_ok, insert, query_message};
 
-/// Long enough that what a fault would do shows; what has to happen is waited for as an event.
-const SHOWS: Duration = Duration::from_millis(300);
+/// How long to watch for an event that must not happen. Events that must happen are awaited, not given a fixed time.
+const OBSERVATION_TIME: Duration = Duration::from_millis(300);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
 }
 
-/// Settings with a client timeout of one's own, and as long a response target.
+/// Settings with this client timeout in milliseconds, which is also the response target.
 fn settings(timeout: u32) -> String {
     let target = timeout;
     format!(
@@ -42,9 +42,15 @@
     )
 }
 
-/// A gateway that has this list from the start, with so many descriptors.
+/// Starts a gateway with these servers, this client timeout in milliseconds and a limit on descriptors.
 fn gateway(servers: &[(&str, &str)], timeout: u32, sockets: usize) -> Gateway {
-    stands::start_with_addresses(program(), servers, &settings(timeout), (192, sockets), &[])
+    gateway_process::start_with_addresses(
+        program(),
+        servers,
+        &settings(timeout),
+        (192, sockets),
+        &[],
+    )
 }
 
 #[test]
@@ -52,7 +58,7 @@
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 3_000, 1024);
     let mut client = gateway.connect_client();
-    // Of another command group, of which nothing is known yet: it is waited for as long as its client does.
+    // The second is of another request class, which has no history yet: the gateway waits for it up to the client timeout.
     client.send(
         &[
             query_message(&insert("report")),
@@ -60,12 +66,12 @@
         ]
         .concat(),
     );
-    let mut talk = primary.accept_ready();
-    let first = talk.read_statement().unwrap();
+    let mut connection = primary.accept_ready();
+    let first = connection.read_statement().unwrap();
     thread::sleep(Duration::from_millis(400));
-    talk.respond(&first, "one", "read-write");
+    connection.respond(&first, "one", "read-write");
     assert_eq!(client.read_response(), "T D one C Z");
-    let second = talk.answer_next("two", "read-write");
+    let second = connection.answer_next("two", "read-write");
     assert!(deadline_ms(&second) <= 2_600, "{second}");
     assert_eq!(client.read_response(), "T D two C Z");
 }
@@ -83,20 +89,20 @@
         ]
         .concat(),
     );
-    let mut talk = primary.accept_ready();
-    let first = talk.read_statement().unwrap();
-    // The first one's client timeout ends it; it may have run. Nothing of the others was sent, so they may come again.
+    let mut connection = primary.accept_ready();
+    let first = connection.read_statement().unwrap();
+    // The first fails at its client timeout, as possibly executed. The others were not sent, so the client may retry them.
     assert_eq!(client.read_response(), "E C58000 Z", "{first}");
     assert!(client.read_response().starts_with("E C53300"));
     assert!(client.read_response().starts_with("E C53300"));
     assert_eq!(
-        talk.read_statement(),
+        connection.read_statement(),
         None,
-        "given up with the first, and nothing behind it"
+        "abandoned with the first, and nothing sent behind it"
     );
     assert!(
-        !primary.connects_within(SHOWS),
-        "nothing is sent on elsewhere"
+        !primary.connects_within(OBSERVATION_TIME),
+        "nothing is sent on another connection"
     );
     let counters = gateway.counters();
     assert!(
@@ -110,9 +116,9 @@
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 3_000, 1024);
     let mut client = gateway.connect_client();
-    // More than is read ahead and than the system takes beside it, so that the client's own holds back the rest.
+    // More than the gateway reads ahead plus its kernel's buffer, so that the rest stays in the client's send buffer.
     let long = query_message(&format!("VACUUM {}", "a".repeat(120_000)));
-    let all = [
+    let pipeline = [
         query_message(&insert("report")),
         long.clone(),
         long,
@@ -120,52 +126,52 @@
     ]
     .concat();
     let mut writer = client.stream.try_clone().unwrap();
-    let sent = thread::spawn(move || writer.write_all(&all));
-    let mut talk = primary.accept_ready();
-    let first = talk.read_statement().unwrap();
+    let writer_thread = thread::spawn(move || writer.write_all(&pipeline));
+    let mut connection = primary.accept_ready();
+    let first = connection.read_statement().unwrap();
     thread::sleep(Duration::from_millis(400));
-    talk.respond(&first, "one", "read-write");
+    connection.respond(&first, "one", "read-write");
     assert_eq!(client.read_response(), "T D one C Z");
     for _ in 0..2 {
         let refused = client.read_response();
         assert!(refused.starts_with("E C0A000"), "{refused}");
     }
-    let last = talk.answer_next("two", "read-write");
+    let last = connection.answer_next("two", "read-write");
     assert!(deadline_ms(&last) <= 2_600, "{last}");
     assert_eq!(client.read_response(), "T D two C Z");
-    sent.join().unwrap().unwrap();
+    writer_thread.join().unwrap().unwrap();
 }
 
 #[test]
 fn requests_received_while_an_answer_is_written_count_from_their_receipt() {
-    for (stands, left) in [(Duration::from_millis(900), true), (Duration::ZERO, false)] {
+    for (stall, in_time) in [(Duration::from_millis(900), true), (Duration::ZERO, false)] {
         let primary = start_server("read-write", always_row(&"ab".repeat(1_000)));
         let gateway = gateway(&[(&primary.address, "read-write")], 1_000, 1024);
         let mut client = gateway.connect_client();
         let whole = "T D of 2000 bytes C Z";
-        // It proves itself first, so that it is not sent back for what it has not taken.
-        let proven = || {
+        // The client first reads enough answers to count as a usual one, so that it is not rejected for its unread answers.
+        let is_usual = || {
             gateway.signal("-USR1");
             gateway
                 .wait_for_log("event=\"peers\"")
                 .contains("peers.usual=1 ")
         };
-        while !proven() {
+        while !is_usual() {
             assert_eq!(client.run_statement(&insert("order")), whole);
             next_statement(&primary);
         }
-        // Answers until the systems take no more, as nobody reads; one command stands behind them.
+        // Nobody reads, so answers are sent until the kernel buffers are full; one request then waits behind them.
         let mut answered = 0;
         loop {
             client.send(&query_message(&insert("order")));
-            if primary.statements.recv_timeout(SHOWS).is_err() {
+            if primary.statements.recv_timeout(OBSERVATION_TIME).is_err() {
                 break;
             }
             answered += 1;
         }
-        thread::sleep(stands);
+        thread::sleep(stall);
         client.send(&query_message(&insert("report")));
-        thread::sleep(Duration::from_millis(1_200) - stands);
+        thread::sleep(Duration::from_millis(1_200) - stall);
         let answers: Vec<_> = (0..answered + 2).map(|_| client.read_response()).collect();
         assert!(
             answers[..answered].iter().all(|answer| answer == whole),
@@ -173,10 +179,10 @@
         );
         let answers = &answers[answered..];
         assert!(answers[0].starts_with("E C53300"), "{answers:?}");
-        // The time of the one before it has passed; its own has not where it came late.
+        // The client timeout of the request before it has passed; its own has not if it was sent late.
         let last = &answers[1];
         assert!(
-            if left {
+            if in_time {
                 last == whole
             } else {
                 last.starts_with("E C53300")
@@ -184,7 +190,7 @@
             "{answers:?}"
         );
         let statements: Vec<_> = primary.statements.try_iter().collect();
-        assert_eq!(statements.len(), usize::from(left), "{statements:?}");
+        assert_eq!(statements.len(), usize::from(in_time), "{statements:?}");
         assert!(
             statements
                 .iter()
@@ -201,14 +207,14 @@
     let known = full_endpoint_list(7, &[("s0", &primary.address, "up", "read-write")]);
     let address = free_address();
     let text = config(&address, &agent.address, &known, &settings(3_000));
-    // It remembers a list and asks its agent, which is silent: for a while nobody is accepted.
-    let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
+    // The gateway has a stored endpoint list and polls an agent that does not respond: for a while it accepts no connection.
+    let gateway = gateway_process::start(&text, address, agent.agent(), program(), &[]);
     let mut stream = gateway.connect();
     stream
         .write_all(&[STARTUP_MESSAGE, &query_message(&insert("order"))].concat())
         .unwrap();
-    let mut talk = primary.accept_ready();
-    let statement = talk.answer_next("one", "read-write");
+    let mut connection = primary.accept_ready();
+    let statement = connection.answer_next("one", "read-write");
     assert!(deadline_ms(&statement) <= 2_700, "{statement}");
     let mut client = Client { stream };
     client.read_response();
@@ -221,12 +227,12 @@
     let agent = ManualAgent::new();
     let address = free_address();
     let text = config(&address, &agent.address, "null", &settings(3_000));
-    let gateway = stands::start(&text, address, agent.agent(), program(), &[]);
-    let mut ask = agent.next_request();
+    let gateway = gateway_process::start(&text, address, agent.agent(), program(), &[]);
+    let mut request = agent.next_request();
     let mut client = gateway.connect_client();
     client.send(&[query_message(""), query_message(&insert("order"))].concat());
     thread::sleep(Duration::from_millis(400));
-    ask.send(&http_ok(&full_endpoint_list(
+    request.send(&http_ok(&full_endpoint_list(
         7,
         &[("s0", &primary.address, "up", "read-write")],
     )));
@@ -238,9 +244,9 @@
 
 #[test]
 fn each_pipelined_request_of_a_rejected_connection_is_answered() {
-    let (go, waits) = row_on_signal("waited");
-    let primary = start_server("read-write", vec![waits]);
-    // Nine descriptors for connections: four for clients, as many for servers, one for what is sent back.
+    let (release, delayed_row) = row_on_signal("waited");
+    let primary = start_server("read-write", vec![delayed_row]);
+    // Nine descriptors for connections: four for clients, four for servers, one for a connection that is rejected.
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 25);
     let mut busy: Vec<_> = (0..4).map(|_| gateway.connect_client()).collect();
     for client in &mut busy {
@@ -248,18 +254,18 @@
         next_statement(&primary);
     }
     let mut fifth = gateway.connect_client();
-    let row = [
+    let pipeline = [
         query_message(&insert("report")),
         query_message(""),
         query_message(&insert("order")),
         query_message(&insert("report")),
     ];
-    fifth.send(&row.concat());
+    fifth.send(&pipeline.concat());
     let answers: Vec<_> = (0..4).map(|_| fifth.read_response()).collect();
     assert_eq!(answers, ["E C53300 Z", "I Z", "E C53300 Z", "E C53300 end"]);
-    // The end told nothing but that, and nobody else heard of it.
+    // Nothing follows the last rejection, and no other client or server receives anything.
     assert_eq!(fifth.read_response(), "end");
-    (0..4).for_each(|_| go.send(()).unwrap());
+    (0..4).for_each(|_| release.send(()).unwrap());
     busy.iter_mut()
         .for_each(|client| assert_eq!(client.read_response(), "T D waited C Z"));
     assert_eq!(primary.statements.try_iter().count(), 0);
@@ -270,19 +276,19 @@
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
     let mut gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
     let mut client = gateway.connect_client();
-    let row: Vec<u8> = (0..200)
+    let pipeline: Vec<u8> = (0..200)
         .flat_map(|_| query_message(&insert("order")))
         .collect();
-    client.send(&row);
+    client.send(&pipeline);
     next_statement(&primary);
     gateway.signal("-TERM");
     let began = Instant::now();
     assert_eq!(client.read_response(), "E C58000 Z");
     for nth in 1..200 {
-        assert_eq!(client.read_response(), "E C53300 Z", "the {nth}.");
+        assert_eq!(client.read_response(), "E C53300 Z", "request {nth}");
     }
     assert!(gateway.child.wait().unwrap().success());
-    // The platform's own bound: 3 s and 0.7 s more.
+    // The platform's limit for a shutdown: 3 s and 0.7 s more.
     assert!(began.elapsed() < Duration::from_millis(3_700));
     assert_eq!(
         primary
@@ -291,11 +297,11 @@
             .filter(|text| text != "closed")
             .count(),
         0,
-        "nothing else was sent on"
+        "nothing else was sent to the server"
     );
 }
 
-/// Sent as the process was about to end, a request behind a hung one was answered as possibly executed.
+/// Guards against a queued request that is sent just before the process ends, and is then answered as possibly executed.
 #[test]
 fn a_pipelined_request_that_shutdown_leaves_no_time_for_is_shed_and_never_sent() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
@@ -303,8 +309,8 @@
     let mut client = gateway.connect_client();
     client.send(&[(); 3].map(|()| query_message(&insert("order"))).concat());
     next_statement(&primary);
-    // The attempt of the first is given up after 3.5 s, the open requests 3.45 s after the signal.
-    thread::sleep(SHOWS);
+    // The attempt of the first request is abandoned after 3.5 s, the open requests 3.45 s after the signal.
+    thread::sleep(OBSERVATION_TIME);
     gateway.signal("-TERM");
     assert_eq!(client.read_response(), "E C58000 Z");
     for _ in 0..2 {
@@ -321,15 +327,18 @@
 
 #[test]
 fn requests_before_an_invalid_message_are_answered_and_none_behind_it_is_sent() {
-    let (go, waits) = row_on_signal("one");
-    let primary = start_server("read-write", vec![waits, ServerAction::Row("two".into())]);
+    let (release, delayed_row) = row_on_signal("one");
+    let primary = start_server(
+        "read-write",
+        vec![delayed_row, ServerAction::Row("two".into())],
+    );
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
     let mut client = gateway.connect_client();
     let [first, second, behind] = [(); 3].map(|()| query_message(&insert("order")));
     let unknown = query_message(&insert("order").replace("c=order", "c=none"));
     client.send(&[first, unknown, second, b"?\0\0\0\x04".to_vec(), behind].concat());
     next_statement(&primary);
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     let answers: Vec<_> = (0..4).map(|_| client.read_response()).collect();
     assert_eq!(
         answers,
@@ -339,7 +348,7 @@
     let counters = gateway.counters();
     assert!(counters.contains("taken.order=2 "), "{counters}");
     assert_eq!(primary.statements.try_iter().count(), 0);
-    // Nobody else is harmed.
+    // Other clients are not affected.
     assert_eq!(
         gateway.connect_client().run_statement(&insert("order")),
         "T D two C Z"
@@ -358,101 +367,105 @@
     );
     let gateway = gateway(&[(&primary.address, "read-write")], 60_000, 1024);
     let mut client = gateway.connect_client();
-    let much = vec![b'?'; 1 << 20];
+    let invalid = vec![b'?'; 1 << 20];
     let mut writer = client.stream.try_clone().unwrap();
-    let row = [
+    let pipeline = [
         query_message(&insert("order")),
         query_message(&insert("order")),
-        much,
+        invalid,
     ]
     .concat();
-    // It may be told of the end before it has said all.
-    let sent = thread::spawn(move || drop(writer.write_all(&row)));
+    // The gateway may close the connection before everything is written.
+    let writer_thread = thread::spawn(move || drop(writer.write_all(&pipeline)));
     gateway.wait_for_counter("bad_messages=1");
     thread::sleep(2 * Duration::from_millis(400));
     assert_eq!(client.read_response(), "T D of 65536 bytes C Z");
     assert_eq!(client.read_response(), "T D of 53248 bytes C Z");
     drop(client);
-    sent.join().unwrap();
+    writer_thread.join().unwrap();
 }
 
 #[test]
-fn with_the_read_ahead_exhausted_a_disconnect_is_seen_and_nothing_stalls() {
+fn with_the_read_ahead_exhausted_a_disconnect_is_detected_and_nothing_stalls() {
     let primary = ManualServer::new();
-    let gateway = stands::start_with_addresses(
+    let gateway = gateway_process::start_with_addresses(
         program(),
         &[(&primary.address, "read-write")],
         &settings(60_000),
         (32, 1500),
         &[],
     );
-    let row = || -> Vec<u8> {
+    let pipeline = || -> Vec<u8> {
         (0..1_100)
             .flat_map(|_| query_message(&insert("order")))
             .collect()
     };
-    // Some that use it up, whose first command hangs, and one more that goes.
-    let mut many: Vec<_> = (0..3).map(|_| gateway.connect_client()).collect();
-    let mut talks = Vec::new();
-    for client in &mut many {
-        client.send(&row());
-        talks.push(primary.accept_ready());
+    // Three clients exhaust the read-ahead while their first request hangs; one more client disconnects.
+    let mut clients: Vec<_> = (0..3).map(|_| gateway.connect_client()).collect();
+    let mut connections = Vec::new();
+    for client in &mut clients {
+        client.send(&pipeline());
+        connections.push(primary.accept_ready());
     }
-    let mut goes = gateway.connect_client();
-    // More than a ring takes by itself; what stands in its own system can't be known of.
-    goes.send(&row()[..8_000]);
-    talks.push(primary.accept_ready());
-    drop(goes);
+    let mut disconnecting = gateway.connect_client();
+    // More than the ring buffer holds without a reservation, but little enough that nothing stays in the client's send buffer,
+    // of which the gateway cannot know.
+    disconnecting.send(&pipeline()[..8_000]);
+    connections.push(primary.accept_ready());
+    drop(disconnecting);
     gateway.wait_for_counter("gone=1");
-    // Whoever is first answered goes on.
-    let statement = talks[0].answer_next("one", "read-write");
-    assert_eq!(many[0].read_response(), "T D one C Z", "{statement}");
+    // The client that gets an answer first continues with its next request.
+    let statement = connections[0].answer_next("one", "read-write");
+    assert_eq!(clients[0].read_response(), "T D one C Z", "{statement}");
     assert!(
-        talks[0]
+        connections[0]
             .read_statement()
             .is_some_and(|next| next != statement)
     );
 }
 
 #[test]
-fn no_byte_is_taken_for_younger_than_it_is_in_however_many_pieces() {
-    let began = leverpoint_runtime::now();
+fn no_byte_is_reported_as_received_later_than_it_was_in_any_number_of_pieces() {
+    let start = leverpoint_runtime::now();
     for seed in 0..200 {
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let mut receive_times = ReceiveTimes::new(began);
-        // When each byte came in truth, and how many of them were taken out.
-        let mut came: Vec<leverpoint_runtime::Instant> = Vec::new();
-        let (mut taken, mut at, mut worst) = (0, began, Duration::ZERO);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut receive_times = ReceiveTimes::new(start);
+        // When each byte was really received, and how many bytes were taken out.
+        let mut received_at: Vec<leverpoint_runtime::Instant> = Vec::new();
+        let (mut taken, mut now, mut max_error) = (0, start, Duration::ZERO);
         for _ in 0..1_000 {
-            let quiet = Duration::from_millis(chance.u64(0..8));
-            at += quiet;
-            match chance.u16(0..400) {
-                // A wait that ends with something to read, up to far more pieces than are told apart.
+            let idle = Duration::from_millis(rng.u64(0..8));
+            now += idle;
+            match rng.u16(0..400) {
+                // A wait that ends with readable bytes; there are far more pieces than are recorded separately.
                 0..360 => {
-                    receive_times.on_drained(at, quiet);
-                    let bytes = chance.usize(1..40);
+                    receive_times.on_drained(now, idle);
+                    let bytes = rng.usize(1..40);
                     receive_times.on_read(bytes);
-                    came.extend(vec![at; bytes]);
+                    received_at.extend(vec![now; bytes]);
                 }
-                // The ring is full while more comes, and the client's system holds back more yet.
+                // The ring buffer is full while more is received, and the client's send buffer holds further bytes.
                 360..396 => {
                     receive_times.on_full();
-                    let bytes = chance.usize(1..40);
-                    came.extend(vec![at; bytes]);
-                    at += Duration::from_millis(chance.u64(0..50));
-                    receive_times.on_drained(at, Duration::ZERO);
+                    let bytes = rng.usize(1..40);
+                    received_at.extend(vec![now; bytes]);
+                    now += Duration::from_millis(rng.u64(0..50));
+                    receive_times.on_drained(now, Duration::ZERO);
                     receive_times.on_read(bytes);
                 }
-                _ if taken < came.len() => {
-                    taken += chance.usize(1..=came.len() - taken);
-                    let told = receive_times.on_taken(came.len() - taken);
-                    assert!(told <= came[taken - 1], "seed {seed}");
-                    worst = worst.max(came[taken - 1] - told);
+                _ if taken < received_at.len() => {
+                    taken += rng.usize(1..=received_at.len() - taken);
+                    let reported = receive_times.on_taken(received_at.len() - taken);
+                    assert!(reported <= received_at[taken - 1], "seed {seed}");
+                    max_error = max_error.max(received_at[taken - 1] - reported);
                 }
                 _ => {}
             }
         }
-        // Nor for much older, but by what stood behind a full ring or was merged.
-        assert!(worst < Duration::from_secs(4), "seed {seed}: {worst:?}");
+        // A reported time is earlier than the true one only for bytes behind a full ring buffer and for merged pieces.
+        assert!(
+            max_error < Duration::from_secs(4),
+            "seed {seed}: {max_error:?}"
+        );
     }
 }
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -1,4 +1,5 @@
-//! Slow peers beside honest ones, on the program as it is: each hard case is caused, none is waited for by the clock.
+//! Slow clients and servers beside well-behaved ones, on real connections. Every difficult case is forced, never left to
+//! timing.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +8,7 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::Duration;
 
-use leverpoint_test_support::gateway::{self as stands, Gateway};
+use leverpoint_test_support::gateway::{self as gateway_process, Gateway};
 use leverpoint_test_support::pace::Pace;
 use leverpoint_test_support::server::{
     Server, ServerAction, always_row, next_statement, start_server,
@@ -17,7 +18,7 @@
 };
 use leverpoint_test_support::wire::{insert, query_message, select};
 
-/// Client timeouts near enough that what is past them can be waited for, targets far from both.
+/// The class `short` has a client timeout that a test can wait for; the other classes have targets far beyond it.
 const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
      "stopSendingWithinMs": 500.0},
@@ -32,13 +33,13 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 100.0}, {"name": "venue", "share": 1.0, "quotaPerS": 100.0}]}"#;
 
-fn gateway(servers: &[(&Server, &str)], limits: (usize, usize), words: &[&str]) -> Gateway {
-    stands::start_with_servers(
+fn gateway(servers: &[(&Server, &str)], limits: (usize, usize), args: &[&str]) -> Gateway {
+    gateway_process::start_with_servers(
         Path::new(env!("CARGO_BIN_EXE_leverpoint")),
         servers,
         SETTINGS,
         limits,
-        words,
+        args,
     )
 }
 
@@ -46,7 +47,7 @@
     "v".repeat(60_000)
 }
 
-fn asks(length: usize) -> RequestSpec {
+fn request_spec(length: usize) -> RequestSpec {
     let (group, tenant, timeout) = ("short".into(), "venue".into(), Duration::from_millis(900));
     RequestSpec {
         group,
@@ -61,21 +62,22 @@
     gateway.address.parse().unwrap()
 }
 
-/// An honest client's answers to so many reads, as often as it takes where it is sent back: how many were rows.
-fn honest(gateway: &Gateway, many: usize) -> usize {
+/// Sends this many reads from a well-behaved client; returns how many were answered with a row.
+fn count_rows(gateway: &Gateway, reads: usize) -> usize {
     let mut client = gateway.connect_client();
-    (0..many)
+    (0..reads)
         .filter(|_| client.run_statement(&select("view")).starts_with("T D "))
         .count()
 }
 
-fn counted(line: &str, name: &str) -> u64 {
-    let count = stands::counter_value(line, name).and_then(|count| count.parse().ok());
+fn parse_counter(line: &str, name: &str) -> u64 {
+    let count = gateway_process::counter_value(line, name).and_then(|count| count.parse().ok());
     count.unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
-/// A crowd of so many that never read, beside an honest client that is there before and one that comes later.
-fn beside_a_crowd(many: usize, limits: (usize, usize)) {
+/// Runs `count` clients that never read beside a well-behaved client, which must get every answer; afterwards all buffers
+/// must be released.
+fn check_beside_clients_that_never_read(count: usize, limits: (usize, usize)) {
     let replica = start_server("read-only", always_row(&long_value()));
     let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(
@@ -83,45 +85,57 @@
         limits,
         &[],
     );
-    let mut first = gateway.connect_client();
+    let mut well_behaved = gateway.connect_client();
     for _ in 0..20 {
-        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
+        assert_eq!(
+            well_behaved.run_statement(&insert("report")),
+            "T D honest C Z"
+        );
     }
-    let seen = Arc::new(ClientCounters::default());
-    let crowd = SlowClients::start(
+    let client_counters = Arc::new(ClientCounters::default());
+    let slow_clients = SlowClients::start(
         address(&gateway),
-        &vec![ClientBehavior::NeverReads; many],
-        &asks(60_000),
-        &seen,
+        &vec![ClientBehavior::NeverReads; count],
+        &request_spec(60_000),
+        &client_counters,
         1 << 20,
     );
-    while seen.requests.load(Relaxed) < 2 * many as u64 {
-        assert_eq!(first.run_statement(&insert("report")), "T D honest C Z");
+    while client_counters.requests.load(Relaxed) < 2 * count as u64 {
+        assert_eq!(
+            well_behaved.run_statement(&insert("report")),
+            "T D honest C Z"
+        );
     }
-    drop(crowd);
-    // Whoever of them is still known is let go, and all that was held comes back.
+    drop(slow_clients);
+    // The remaining slow clients are evicted, and all their buffers are released.
     let mut gateway = gateway;
     let line = gateway.shut_down_for_peers_line(false);
-    assert!(counted(&line, "peers.let_go") > 0, "{line}");
+    assert!(parse_counter(&line, "peers.let_go") > 0, "{line}");
     assert_eq!(
         (
-            counted(&line, "held.answers"),
-            counted(&line, "held.statements")
+            parse_counter(&line, "held.answers"),
+            parse_counter(&line, "held.statements")
         ),
         (0, 0),
         "{line}"
     );
-    assert_eq!((seen.lost.load(Relaxed), seen.wrong.load(Relaxed)), (0, 0));
+    assert_eq!(
+        (
+            client_counters.lost.load(Relaxed),
+            client_counters.wrong.load(Relaxed)
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
 fn two_hundred_clients_that_never_read_harm_no_well_behaved_client() {
-    beside_a_crowd(200, (32, 1024));
+    check_beside_clients_that_never_read(200, (32, 1024));
 }
 
 #[test]
-fn four_hundred_clients_that_never_read_harm_none_with_few_descriptors() {
-    beside_a_crowd(400, (32, 256));
+fn four_hundred_clients_that_never_read_harm_no_well_behaved_client_with_few_descriptors() {
+    check_beside_clients_that_never_read(400, (32, 256));
 }
 
 #[test]
@@ -135,7 +149,7 @@
         ("a stall in the description", Pace::Stall(9)),
         ("a stall in the row", Pace::Stall(30_000)),
     ];
-    for (what, pace) in paces {
+    for (name, pace) in paces {
         let slow = start_server(
             "read-only",
             vec![ServerAction::PacedRow(long_value(), pace)],
@@ -146,9 +160,9 @@
             (32, 256),
             &[],
         );
-        // A time that answers usually take is known, so the dispatch to the slow one is not waited for in full.
+        // The usual response time is known, so the attempt at the slow server is abandoned before the client timeout.
         let mut client = gateway.connect_client();
-        trace += &format!("{what}: {}", client.run_statement(&select("short")));
+        trace += &format!("{name}: {}", client.run_statement(&select("short")));
         next_statement(&slow);
         trace += &format!(
             "; {}\n",
@@ -189,8 +203,8 @@
     let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("report")), "T D row C Z");
     assert_eq!(client.run_statement(&insert("report")), "T D next C Z");
-    // The dispatch would have been waited for over a minute; it has ended, and its index is free.
-    while counted(&gateway.counters(), "ended.Answered") < 2 {}
+    // Without the ready message the attempt could stay open for over a minute; it has ended, and its index is free.
+    while parse_counter(&gateway.counters(), "ended.Answered") < 2 {}
     assert_eq!(
         gateway.shut_down(&["answered", "ended.Answered", "servers.opened"]),
         "answered=2 ended.Answered=2 servers.opened=2 "
@@ -201,38 +215,53 @@
 fn a_stalled_client_is_evicted_once_its_answers_have_expired() {
     let primary = start_server("read-write", always_row(&long_value()));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(ClientCounters::default());
-    let habits = [ClientBehavior::PausesReading(
+    let client_counters = Arc::new(ClientCounters::default());
+    let behaviors = [ClientBehavior::PausesReading(
         20_000,
         Duration::from_secs(60),
     )];
-    let crowd = SlowClients::start(address(&gateway), &habits, &asks(60_000), &seen, 1 << 20);
+    let slow_clients = SlowClients::start(
+        address(&gateway),
+        &behaviors,
+        &request_spec(60_000),
+        &client_counters,
+        1 << 20,
+    );
     let line = gateway.wait_for_log("event=\"client connection evicted\"");
     assert!(
         line.contains("why=\"too slow\"") && line.contains("state=\"Stalled\""),
         "{line}"
     );
-    assert!(honest(&gateway, 20) == 20);
-    drop(crowd);
-    assert_eq!(seen.lost.load(Relaxed), 0);
+    assert!(count_rows(&gateway, 20) == 20);
+    drop(slow_clients);
+    assert_eq!(client_counters.lost.load(Relaxed), 0);
 }
 
 #[test]
 fn clients_that_send_half_a_statement_get_an_error_and_delay_nobody() {
     let primary = start_server("read-write", always_row("honest"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
-    let seen = Arc::new(ClientCounters::default());
-    let mut habits = vec![ClientBehavior::SendsHalfStatement; 40];
-    habits.extend([ClientBehavior::WritesInPieces(1, Duration::from_millis(50)); 20]);
-    let crowd = SlowClients::start(address(&gateway), &habits, &asks(300), &seen, 1 << 20);
-    // One more of them, to hear what it is told.
+    let client_counters = Arc::new(ClientCounters::default());
+    let mut behaviors = vec![ClientBehavior::SendsHalfStatement; 40];
+    behaviors.extend([ClientBehavior::WritesInPieces(1, Duration::from_millis(50)); 20]);
+    let slow_clients = SlowClients::start(
+        address(&gateway),
+        &behaviors,
+        &request_spec(300),
+        &client_counters,
+        1 << 20,
+    );
+    // One more such client, to check the error that it gets.
     let mut half = gateway.connect_client();
     half.send(&query_message(&select("view"))[..40]);
     assert_eq!(half.read_response(), "E C08P01 end");
-    assert_eq!(honest(&gateway, 50), 50);
-    drop(crowd);
+    assert_eq!(count_rows(&gateway, 50), 50);
+    drop(slow_clients);
     assert_eq!(
-        (seen.answered.load(Relaxed), seen.lost.load(Relaxed)),
+        (
+            client_counters.answered.load(Relaxed),
+            client_counters.lost.load(Relaxed)
+        ),
         (0, 0)
     );
 }
@@ -253,7 +282,7 @@
 
 #[test]
 fn slow_readers_beside_failing_servers_do_not_block_retries() {
-    let mut does: Vec<_> = (0..40)
+    let mut actions: Vec<_> = (0..40)
         .map(|n| {
             if n % 2 == 0 {
                 ServerAction::Disconnect
@@ -262,25 +291,31 @@
             }
         })
         .collect();
-    does.push(ServerAction::Row(long_value()));
-    let failing = start_server("read-only", does);
+    actions.push(ServerAction::Row(long_value()));
+    let failing = start_server("read-only", actions);
     let primary = start_server("read-write", always_row("whole"));
     let gateway = gateway(
         &[(&primary, "read-write"), (&failing, "read-only")],
         (32, 256),
         &[],
     );
-    let seen = Arc::new(ClientCounters::default());
-    let crowd = SlowClients::start(
+    let client_counters = Arc::new(ClientCounters::default());
+    let slow_clients = SlowClients::start(
         address(&gateway),
         &[ClientBehavior::NeverReads; 60],
-        &asks(60_000),
-        &seen,
+        &request_spec(60_000),
+        &client_counters,
         1 << 20,
     );
-    assert_eq!(honest(&gateway, 60), 60);
-    drop(crowd);
-    assert_eq!((seen.lost.load(Relaxed), seen.wrong.load(Relaxed)), (0, 0));
+    assert_eq!(count_rows(&gateway, 60), 60);
+    drop(slow_clients);
+    assert_eq!(
+        (
+            client_counters.lost.load(Relaxed),
+            client_counters.wrong.load(Relaxed)
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -294,12 +329,12 @@
         (32, 256),
         &["--operator", &path],
     );
-    let seen = Arc::new(ClientCounters::default());
-    let crowd = SlowClients::start(
+    let client_counters = Arc::new(ClientCounters::default());
+    let slow_clients = SlowClients::start(
         address(&gateway),
         &[ClientBehavior::NeverReads; 30],
-        &asks(60_000),
-        &seen,
+        &request_spec(60_000),
+        &client_counters,
         1 << 20,
     );
     let mut trace = String::new();
@@ -322,27 +357,27 @@
             gateway.wait_for_log("event=\"client connection evicted\"");
         }
     }
-    // It ends in order, within the longest client timeout of what it has taken.
-    drop(crowd);
+    // The gateway shuts down in order, within the longest client timeout of its accepted requests.
+    drop(slow_clients);
     trace += &gateway.shut_down(&["failed"]);
     let _ = std::fs::remove_file(&file);
     insta::assert_snapshot!(trace);
 }
 
 #[test]
-fn a_write_whose_answer_is_never_read_stands_and_is_not_retried() {
+fn a_write_whose_answer_is_never_read_counts_as_answered_and_is_not_retried() {
     let primary = start_server("read-write", always_row("done"));
     let gateway = gateway(&[(&primary, "read-write")], (32, 256), &[]);
     let mut stream = TcpStream::connect(&gateway.address).unwrap();
     stream
         .write_all(leverpoint_test_support::wire::STARTUP_MESSAGE)
         .unwrap();
-    let mut admitted = [0; 64];
-    assert!(stream.read(&mut admitted).unwrap() > 0);
+    let mut startup_response = [0; 64];
+    assert!(stream.read(&mut startup_response).unwrap() > 0);
     stream.write_all(&query_message(&insert("report"))).unwrap();
-    // Heard once; then its client goes without having read a byte of the answer.
+    // The server gets the statement once; then the client disconnects without having read a byte of the answer.
     next_statement(&primary);
-    while counted(&gateway.counters(), "answered") < 1 {}
+    while parse_counter(&gateway.counters(), "answered") < 1 {}
     drop(stream);
     assert_eq!(
         gateway.connect_client().run_statement(&insert("report")),
