--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -1,7 +1,7 @@
 //! Replication between five gateway processes, on real connections.
 //!
-//! Processes are killed with their disks right after an answer, partitioned, paused and replaced. An acknowledged write is
-//! still known afterwards. Where the position of a session's last write is not known, a read requires the current
+//! Processes are killed with their disks right after an answer, partitioned, paused and replaced. An acknowledged write
+//! is still known afterwards. Where the position of a session's last write is not known, a read requires the current
 //! position.
 
 use std::path::Path;
@@ -62,9 +62,9 @@
     recovery_wait: "1s",
 };
 
-/// For behavior that is guaranteed within a time limit only: reads are exact for three quarters of a lease after a process
-/// is lost, a write has its quorum if that answers within `quorum_wait`, and a starting process recovers what replica
-/// holders send within `recovery_wait`.
+/// For behavior that is guaranteed within a time limit only: reads are exact for three quarters of a lease after a
+/// process is lost, a write has its quorum if that answers within `quorum_wait`, and a starting process recovers what
+/// replica holders send within `recovery_wait`.
 const LONG_TIMING: Timing = Timing {
     lease: "5s",
     quorum_wait: "2s",
@@ -191,7 +191,7 @@
         self.gateways.counter(p, "copies", name)
     }
 
-    /// Waits until `enough` holds for a counter of a process.
+    /// Waits until `condition` holds for a counter in the `copies` log line of process `p`.
     fn wait_for_counter(&mut self, p: usize, name: &str, condition: impl Fn(u64) -> bool) {
         let began = Instant::now();
         while !condition(self.copies_counter(p, name)) {
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Waits until no keyed request can have been sent before the fleet began to record keys. Until then a repeat is rejected
-    /// at once.
+    /// Waits until no keyed request can have been sent before the fleet began to record keys. Until then a repeat is
+    /// rejected at once.
     fn wait_until_all_keys_are_recorded(&mut self) {
         let floor = (0..5)
             .map(|p| self.copies_counter(p, "copies.floor"))
@@ -497,8 +497,8 @@
     }
 }
 
-/// Guards against a start that ignores answers of replica holders that arrive later than 0.2 s after the request, although
-/// it has more time.
+/// Guards against a start that ignores answers of replica holders that arrive later than 0.2 s after the request,
+/// although it has more time.
 #[test]
 fn a_starting_gateway_waits_for_replica_holders_that_answer_late() {
     let mut fleet = start_fleet_with(5, &LONG_TIMING);
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -18,8 +18,8 @@
 
 /// The time after which nothing may be sent to a draining server.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// The time after a change reached discovery at which every gateway is held to know it, whatever became of its calls.
-const HELD_TO_KNOW_AFTER: Duration = Duration::from_secs(6);
+/// The time after a change reached discovery from which every gateway counts as informed, whatever became of its calls.
+const COUNTS_AS_INFORMED_AFTER: Duration = Duration::from_secs(6);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
@@ -59,8 +59,8 @@
     gateway_process::start(&text, address, agent, program(), &[])
 }
 
-/// An agent that did not answer for a while answers only calls that begin after its return, and the gateway is held to
-/// know its list from then on.
+/// An agent that did not answer for a while answers only calls that begin after its return, and the gateway counts as
+/// informed of its list from then on.
 #[test]
 fn a_silent_agent_is_polled_again_within_the_drain_grace() {
     let (draining, remaining) = (
@@ -138,7 +138,7 @@
         .collect();
     let changed =
         discovery.set_targets(8, &endpoint_entries("draining", "read-only", "read-write"));
-    thread::sleep((changed + HELD_TO_KNOW_AFTER).saturating_duration_since(Instant::now()));
+    thread::sleep((changed + COUNTS_AS_INFORMED_AFTER).saturating_duration_since(Instant::now()));
     let informed = addresses
         .iter()
         .filter(|(_, caller)| discovery.first_written_at(*caller, 8).is_some())
@@ -162,7 +162,8 @@
         "calls per gateway: {calls:?}"
     );
     thread::sleep(
-        (changed + HELD_TO_KNOW_AFTER + DRAIN_GRACE).saturating_duration_since(Instant::now()),
+        (changed + COUNTS_AS_INFORMED_AFTER + DRAIN_GRACE)
+            .saturating_duration_since(Instant::now()),
     );
     draining.statements.try_iter().for_each(drop);
     for gateway in &gateways {
@@ -174,8 +175,8 @@
     assert_eq!(draining.statements.try_iter().count(), 0);
 }
 
-/// Discovery is reachable and refuses every call. Six seconds later a gateway is held to know every change, and it cannot
-/// know which server may be draining.
+/// Discovery is reachable and refuses every call. Six seconds later the gateway counts as informed of every change, and
+/// it cannot know which server may be draining.
 #[test]
 fn a_gateway_refused_by_discovery_sheds_every_request_once_its_endpoint_list_lease_expires() {
     let one = start_server("read-write", always_row("one"));
@@ -196,10 +197,10 @@
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     let refused_since = Instant::now();
     discovery.refuse_all(true);
-    assert!(discovery.wait_for_refusals(caller, 1, HELD_TO_KNOW_AFTER));
+    assert!(discovery.wait_for_refusals(caller, 1, COUNTS_AS_INFORMED_AFTER));
     assert_eq!(client.run_statement(&insert("order")), "T D one C Z");
     thread::sleep(
-        (refused_since + HELD_TO_KNOW_AFTER + DRAIN_GRACE)
+        (refused_since + COUNTS_AS_INFORMED_AFTER + DRAIN_GRACE)
             .saturating_duration_since(Instant::now()),
     );
     one.statements.try_iter().for_each(drop);
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Membership of five gateway processes on real connections.
 //!
 //! Links are partitioned, delayed and corrupted; processes are killed, paused, started without their data directory or
-//! started twice under one name. The tests check the status of each member, the layout, and that no status from an earlier
-//! incarnation is accepted.
+//! started twice under one name. The tests check the status of each member, the layout, and that no status from an
+//! earlier incarnation is accepted.
 
 use std::path::Path;
 use std::time::Duration;
@@ -35,8 +35,8 @@
     start_fleet_with_heartbeat(100)
 }
 
-/// Starts five processes with this heartbeat interval in milliseconds. A test that a short suspicion would disturb takes an
-/// interval that a busy host can meet.
+/// Starts five processes with this heartbeat interval in milliseconds. A test that a short suspicion would disturb
+/// takes an interval that a busy host can meet.
 fn start_fleet_with_heartbeat(interval_ms: u64) -> GatewayFleet {
     let fleet_config = FleetConfig {
         processes: 5,
--- a/crates/gateway/tests/operator_surface.rs
+++ b/crates/gateway/tests/operator_surface.rs
@@ -100,7 +100,8 @@
     String::from_utf8(run_program(args).stdout).unwrap()
 }
 
-/// Runs `check` on an operator's file. The error is the line that `check` prints, with the file's path replaced by `FILE`.
+/// Runs `check` on an operator's file. The error is the line that `check` prints, with the file's path replaced by
+/// `FILE`.
 fn check_operator_file(name: &str, operator: &str) -> Result<(), String> {
     let text = config(
         "127.0.0.1:6432",
--- a/crates/gateway/tests/parsers.rs
+++ b/crates/gateway/tests/parsers.rs
@@ -50,7 +50,7 @@
 fn a_ring_buffer_keeps_order_across_its_end_and_its_bound() {
     let mut ring = RingBuffer::default();
     let (mut pushed, mut taken) = (0u32, 0u32);
-    // Lengths that do not divide the ring's size, so that pieces wrap around at every position.
+    // Lengths that share no common factor with the ring's size, so that pieces wrap around at every position.
     for step in 0..5000 {
         let piece: Vec<u8> = (0..step % 37).map(|i| ((pushed + i) % 251) as u8).collect();
         pushed += ring.push(&piece) as u32;
--- a/crates/gateway/tests/pipelined.rs
+++ b/crates/gateway/tests/pipelined.rs
@@ -58,7 +58,8 @@
     let primary = ManualServer::new();
     let gateway = gateway(&[(&primary.address, "read-write")], 3_000, 1024);
     let mut client = gateway.connect_client();
-    // The second is of another request class, which has no history yet: the gateway waits for it up to the client timeout.
+    // The second is of another request class, which has no history yet: the gateway waits for it up to the client
+    // timeout.
     client.send(
         &[
             query_message(&insert("report")),
@@ -91,7 +92,8 @@
     );
     let mut connection = primary.accept_ready();
     let first = connection.read_statement().unwrap();
-    // The first fails at its client timeout, as possibly executed. The others were not sent, so the client may retry them.
+    // The first fails at its client timeout, as possibly executed. The others were not sent, so the client may retry
+    // them.
     assert_eq!(client.read_response(), "E C58000 Z", "{first}");
     assert!(client.read_response().starts_with("E C53300"));
     assert!(client.read_response().starts_with("E C53300"));
@@ -149,7 +151,8 @@
         let gateway = gateway(&[(&primary.address, "read-write")], 1_000, 1024);
         let mut client = gateway.connect_client();
         let whole = "T D of 2000 bytes C Z";
-        // The client first reads enough answers to count as a usual one, so that it is not rejected for its unread answers.
+        // The client first reads enough answers to count as a usual one, so that it is not rejected for its unread
+        // answers.
         let is_usual = || {
             gateway.signal("-USR1");
             gateway
@@ -207,7 +210,8 @@
     let known = full_endpoint_list(7, &[("s0", &primary.address, "up", "read-write")]);
     let address = free_address();
     let text = config(&address, &agent.address, &known, &settings(3_000));
-    // The gateway has a stored endpoint list and polls an agent that does not respond: for a while it accepts no connection.
+    // The gateway has a stored endpoint list and polls an agent that does not respond: for a while it accepts no
+    // connection.
     let gateway = gateway_process::start(&text, address, agent.agent(), program(), &[]);
     let mut stream = gateway.connect();
     stream
@@ -301,7 +305,8 @@
     );
 }
 
-/// Guards against a queued request that is sent just before the process ends, and is then answered as possibly executed.
+/// Guards against a queued request that is sent just before the process ends, and is then answered as possibly
+/// executed.
 #[test]
 fn a_pipelined_request_that_shutdown_leaves_no_time_for_is_shed_and_never_sent() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
@@ -408,8 +413,8 @@
         connections.push(primary.accept_ready());
     }
     let mut disconnecting = gateway.connect_client();
-    // More than the ring buffer holds without a reservation, but little enough that nothing stays in the client's send buffer,
-    // of which the gateway cannot know.
+    // More than the ring buffer holds without a reservation, but little enough that nothing stays in the client's send
+    // buffer, of which the gateway cannot know.
     disconnecting.send(&pipeline()[..8_000]);
     connections.push(primary.accept_ready());
     drop(disconnecting);
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -1,5 +1,5 @@
-//! The bad order of things, made to happen every time, by real connections of the real program: a byte held, a dial
-//! left hanging, a reset at a stated byte. docs/races.md has a row for each.
+//! Race conditions that are forced on real connections: a byte is held back, a connect left pending, a connection reset
+//! at a given byte. docs/races.md has a row for each case.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use leverpoint_test_support::client::Client;
-use leverpoint_test_support::gateway::{self as stands, Gateway, config, free_address};
+use leverpoint_test_support::gateway::{self as gateway_process, Gateway, config, free_address};
 use leverpoint_test_support::manual::{
     AgentRequest, ManualAgent, ManualConnection, ManualServer, full_endpoint_list,
 };
@@ -21,15 +21,15 @@
     put_message, query_message, row_messages, select, target,
 };
 
-/// Long enough that what a fault would do shows; what has to happen is waited for as an event.
-const SHOWS: Duration = Duration::from_millis(300);
+/// How long to watch for an event that must not happen. Events that must happen are awaited, not given a fixed time.
+const OBSERVATION_TIME: Duration = Duration::from_millis(300);
 
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
 }
 
-/// Settings with a connect time-out, a key's window and a client timeout of one's own.
-fn settings(connect: u32, window: u32, timeout: u32) -> String {
+/// Settings with this connect timeout, validity of keys and client timeout, in milliseconds.
+fn settings(connect_timeout: u32, key_ttl: u32, timeout: u32) -> String {
     format!(
         r#"{{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {{"answerSlackMs": 5000.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5,
@@ -39,60 +39,60 @@
     "grades": [
      {{"name": "view", "aimMs": 30000.0, "deadlineMs": {timeout}.0, "semantics": "pure", "worth": 1.0, "lateWorth": 1.0}},
      {{"name": "report", "aimMs": 30000.0, "deadlineMs": {timeout}.0, "semantics": "token", "group": "cell",
-      "keyTtlMs": {window}.0, "worth": 3.0, "lateWorth": 0.5}},
+      "keyTtlMs": {key_ttl}.0, "worth": 3.0, "lateWorth": 0.5}},
      {{"name": "order", "aimMs": 30000.0, "deadlineMs": {timeout}.0, "semantics": "side_effect", "worth": 3.0}}],
-    "policyLimits": {{"sendCap": 4, "retryAfter": true, "maxRetryAfterMs": 2000.0, "connectTimeoutMs": {connect}.0,
+    "policyLimits": {{"sendCap": 4, "retryAfter": true, "maxRetryAfterMs": 2000.0, "connectTimeoutMs": {connect_timeout}.0,
      "idleCloseMs": 15000.0}},
     "tenants": [{{"name": "acme", "share": 1.0, "quotaPerS": 100.0}}]}}"#
     )
 }
 
-fn usual() -> String {
+fn default_settings() -> String {
     settings(250, 3000, 60_000)
 }
 
-/// A long time to come up in, so that a dial may hang.
-fn patient() -> String {
+/// Settings with a connect timeout of 10 s, so that a connect can stay pending.
+fn long_connect_settings() -> String {
     settings(10_000, 3000, 60_000)
 }
 
-/// A gateway that has this list from the start, and follows a stand-in that says only what it is told to.
+/// Starts a gateway with these servers, whose agent sends only the responses that the test queues.
 fn gateway(servers: &[(&str, &str)], settings: &str) -> Gateway {
-    stands::start_with_addresses(program(), servers, settings, (192, 1024), &[])
+    gateway_process::start_with_addresses(program(), servers, settings, (192, 1024), &[])
 }
 
-/// A gateway before an agent whose each byte the test gives.
-fn held_gateway(known: &str, settings: &str) -> (Gateway, ManualAgent) {
-    let held = ManualAgent::new();
+/// Starts a gateway with an agent whose every byte the test sends.
+fn gateway_with_manual_agent(known: &str, settings: &str) -> (Gateway, ManualAgent) {
+    let agent = ManualAgent::new();
     let address = free_address();
-    let text = config(&address, &held.address, known, settings);
+    let text = config(&address, &agent.address, known, settings);
     (
-        stands::start(&text, address, held.agent(), program(), &[]),
-        held,
+        gateway_process::start(&text, address, agent.agent(), program(), &[]),
+        agent,
     )
 }
 
-/// The watch that follows the list of that revision. While calls are unanswered further ones for the whole list come
-/// beside them, and nothing else does.
-fn watch_from(agent: &ManualAgent, revision: u32) -> AgentRequest {
+/// Waits for the watch that starts from this revision. While calls are unanswered the gateway also requests full
+/// listings; any other request fails the test.
+fn wait_for_watch(agent: &ManualAgent, revision: u32) -> AgentRequest {
     loop {
-        let ask = agent.next_request();
-        if ask
+        let request = agent.next_request();
+        if request
             .line
             .starts_with(&format!("GET /api/targets?index={revision}&"))
         {
-            return ask;
+            return request;
         }
         assert!(
-            ask.line.starts_with("GET /api/targets HTTP"),
+            request.line.starts_with("GET /api/targets HTTP"),
             "{}",
-            ask.line
+            request.line
         );
     }
 }
 
-/// A client with its key to cancel by.
-fn keyed(gateway: &Gateway) -> (Client, [u8; 8]) {
+/// Connects a client; returns it with its cancel key.
+fn connect_with_cancel_key(gateway: &Gateway) -> (Client, [u8; 8]) {
     let mut stream = gateway.connect();
     stream.write_all(STARTUP_MESSAGE).unwrap();
     let mut key = None;
@@ -103,17 +103,17 @@
             _ => {}
         }
     }
-    (Client { stream }, key.expect("a key"))
+    (Client { stream }, key.expect("no cancel key received"))
 }
 
-/// How the next read fails. A wait with a time limit is interrupted where the machine is suspended meanwhile: it begins
-/// anew then.
-fn next_read_within_shows(stream: &mut TcpStream) -> ErrorKind {
-    stream.set_read_timeout(Some(SHOWS)).unwrap();
+/// Returns how the next read fails within [`OBSERVATION_TIME`]. If the host is suspended meanwhile the read is
+/// interrupted and starts again.
+fn next_read_error(stream: &mut TcpStream) -> ErrorKind {
+    stream.set_read_timeout(Some(OBSERVATION_TIME)).unwrap();
     loop {
         let failure = stream
             .read(&mut [0; 1])
-            .expect_err("nothing was to come")
+            .expect_err("unexpected input")
             .kind();
         if failure != ErrorKind::Interrupted {
             return failure;
@@ -121,8 +121,8 @@
     }
 }
 
-/// Asks to cancel, and waits until that has been heard.
-fn cancel(gateway: &Gateway, key: [u8; 8]) {
+/// Sends a cancel request, and waits until the gateway has handled it and closed the connection.
+fn send_cancel_request(gateway: &Gateway, key: [u8; 8]) {
     let mut stream = gateway.connect();
     stream
         .write_all(&[&b"\0\0\0\x10\x04\xd2\x16\x2e"[..], &key].concat())
@@ -130,14 +130,14 @@
     assert_eq!(
         stream.read(&mut [0; 1]).unwrap(),
         0,
-        "nothing but the close"
+        "a cancel request gets no response"
     );
 }
 
-/// Waits until the connection ends without another statement.
-fn hears_nothing(mut talk: ManualConnection) {
-    talk.try_send_ready();
-    assert_eq!(talk.read_statement(), None);
+/// Completes the startup and asserts that the connection is then closed without a statement.
+fn expect_close_without_statement(mut connection: ManualConnection) {
+    connection.try_send_ready();
+    assert_eq!(connection.read_statement(), None);
 }
 
 #[test]
@@ -147,7 +147,7 @@
         start_server("read-write", always_row("two")),
     );
     let known = full_endpoint_list(7, &[("s0", &one.address, "up", "read-write")]);
-    let (gateway, agent) = held_gateway(&known, &usual());
+    let (gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
     agent.next_request().send(&http_ok(&known));
     let silent = agent.next_request();
     assert!(
@@ -162,7 +162,8 @@
         "{}",
         whole.line
     );
-    // The term's own bound, not a speed: a change counts as told 6 s after discovery had it.
+    // The limit of the contract, not a measure of speed: a gateway counts as informed of a change 6 s after discovery
+    // has it.
     assert!(began.elapsed() < Duration::from_secs(6));
     whole.send(&http_ok(&full_endpoint_list(
         8,
@@ -184,26 +185,26 @@
 fn after_each_failed_poll_a_full_listing_is_requested_until_it_arrives() {
     let one = start_server("read-write", always_row("one"));
     let known = full_endpoint_list(7, &[("s0", &one.address, "up", "read-write")]);
-    let (_gateway, agent) = held_gateway(&known, &usual());
+    let (_gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
     let mut trace = String::new();
-    let mut next = |what: &str| {
-        let ask = agent.next_request();
-        trace += &format!("{what}: {}\n", ask.line.split("&wait").next().unwrap());
-        ask
+    let mut next_request = |event: &str| {
+        let request = agent.next_request();
+        trace += &format!("{event}: {}\n", request.line.split("&wait").next().unwrap());
+        request
     };
-    next("at the start").send(&http_ok(&known));
-    next("listed").reset();
-    next("a watch reset").send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-    drop(next("refused"));
-    let mut truncated = next("silent");
+    next_request("at the start").send(&http_ok(&known));
+    next_request("listed").reset();
+    next_request("a watch reset").send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+    drop(next_request("refused"));
+    let mut truncated = next_request("silent");
     truncated.send(&http_ok(&known)[..90]);
     truncated.shut_down_write();
-    next("truncated").send(&http_ok(&endpoint_list(9, false, &[])));
-    next("changes only").send(&http_ok(&full_endpoint_list(
+    next_request("truncated").send(&http_ok(&endpoint_list(9, false, &[])));
+    next_request("changes only").send(&http_ok(&full_endpoint_list(
         8,
         &[("s0", &one.address, "up", "read-write")],
     )));
-    drop(next("listed again"));
+    drop(next_request("listed again"));
     insta::assert_snapshot!(trace);
 }
 
@@ -214,13 +215,13 @@
         start_server("read-write", always_row("two")),
     );
     let known = full_endpoint_list(7, &[("s0", &one.address, "up", "read-write")]);
-    let (gateway, agent) = held_gateway(&known, &usual());
+    let (gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
-    let moved = full_endpoint_list(8, &[("s1", &two.address, "up", "read-write")]);
-    // Whole, but reset: it may have been cut anywhere.
+    let changed_list = full_endpoint_list(8, &[("s1", &two.address, "up", "read-write")]);
+    // The response is complete, but then reset, so it might have been truncated anywhere.
     let mut whole = agent.next_request();
     whole.send(head);
-    whole.send(&moved);
+    whole.send(&changed_list);
     whole.reset();
     let mut again = agent.next_request();
     assert_eq!(
@@ -232,17 +233,17 @@
         "{}",
         again.line
     );
-    // In two parts with the close behind them.
+    // In two parts, followed by a close.
     again.send(head);
-    again.send(&moved[..40]);
-    again.send(&moved[40..]);
+    again.send(&changed_list[..40]);
+    again.send(&changed_list[40..]);
     again.shut_down_write();
-    let watch = watch_from(&agent, 8);
+    let watch = wait_for_watch(&agent, 8);
     assert_eq!(
         gateway.connect_client().run_statement(&insert("report")),
         "T D two C Z"
     );
-    // A watch's answer likewise, cut by a reset: the list stands, the whole one is asked for.
+    // The same for the response to a watch, truncated by a reset: the list stays, and a full listing is requested.
     let mut watch = watch;
     watch.send(head);
     watch.send("{\"rev\":9,\"all\":true,");
@@ -264,25 +265,30 @@
     let [one, two, three] =
         ["one", "two", "three"].map(|name| start_server("read-write", always_row(name)));
     let known = full_endpoint_list(7, &[("s0", &one.address, "up", "read-write")]);
-    let (gateway, agent) = held_gateway(&known, &usual());
+    let (gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
     agent.next_request().send(&http_ok(&known));
     let mut watch = agent.next_request();
-    let late = http_ok(&full_endpoint_list(
+    let late_response = http_ok(&full_endpoint_list(
         8,
         &[("s1", &two.address, "up", "read-write")],
     ));
-    // Held in the middle of its body.
-    watch.send(&late[..late.len() - 20]);
-    let elsewhere = ManualAgent::new();
+    // Held back in the middle of its body.
+    watch.send(&late_response[..late_response.len() - 20]);
+    let new_agent = ManualAgent::new();
     std::fs::write(
         &gateway.config_path,
-        config(&gateway.address, &elsewhere.address, "null", &usual()),
+        config(
+            &gateway.address,
+            &new_agent.address,
+            "null",
+            &default_settings(),
+        ),
     )
     .unwrap();
     gateway.signal("-HUP");
     gateway.wait_for_log("configuration reloaded");
-    let mut first = elsewhere.next_request();
-    watch.send(&late[late.len() - 20..]);
+    let mut first = new_agent.next_request();
+    watch.send(&late_response[late_response.len() - 20..]);
     assert!(first.line.starts_with("GET /api/targets HTTP"));
     let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&insert("report")), "T D one C Z");
@@ -291,7 +297,7 @@
         &[("s2", &three.address, "up", "read-write")],
     )));
     assert!(
-        elsewhere
+        new_agent
             .next_request()
             .line
             .starts_with("GET /api/targets?index=2&")
@@ -301,51 +307,51 @@
 
 #[test]
 fn a_restart_with_an_old_endpoint_list_sends_nothing_to_a_draining_server() {
-    let (drains, stays) = (
+    let (draining, remaining) = (
         start_server("read-write", always_row("drained")),
         start_server("read-write", always_row("stays")),
     );
     let known = full_endpoint_list(
         7,
         &[
-            ("s0", &drains.address, "up", "read-write"),
-            ("s1", &stays.address, "up", "read-only"),
+            ("s0", &draining.address, "up", "read-write"),
+            ("s1", &remaining.address, "up", "read-only"),
         ],
     );
-    let (gateway, agent) = held_gateway(&known, &usual());
+    let (gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
     let mut first = agent.next_request();
     let mut stream = gateway.connect();
     stream
         .write_all(&[STARTUP_MESSAGE, &query_message(&insert("report"))].concat())
         .unwrap();
-    // Far shorter than an agent is waited for.
+    // Far shorter than the time for which the gateway waits for its agent.
     assert!(
-        drains
+        draining
             .statements
             .recv_timeout(Duration::from_millis(50))
             .is_err(),
-        "nothing before the agent was asked"
+        "nothing may be sent before the agent has responded"
     );
     first.send(&http_ok(&full_endpoint_list(
         9,
         &[
-            ("s0", &drains.address, "draining", "read-only"),
-            ("s1", &stays.address, "up", "read-write"),
+            ("s0", &draining.address, "draining", "read-only"),
+            ("s1", &remaining.address, "up", "read-write"),
         ],
     )));
     let mut client = Client { stream };
     client.read_response();
     assert_eq!(client.read_response(), "T D stays C Z");
-    assert_eq!(drains.statements.try_iter().count(), 0);
+    assert_eq!(draining.statements.try_iter().count(), 0);
     drop(gateway);
 }
 
 #[test]
 fn with_discovery_silent_a_restart_is_ready_with_the_restored_endpoint_list() {
     let one = start_server("read-write", always_row("one"));
-    let (gateway, agent) = held_gateway(
+    let (gateway, agent) = gateway_with_manual_agent(
         &full_endpoint_list(7, &[("s0", &one.address, "up", "read-write")]),
-        &usual(),
+        &default_settings(),
     );
     let _silent = agent.next_request();
     let mut client = gateway.connect_client();
@@ -359,22 +365,25 @@
 }
 
 #[test]
-fn the_disconnect_of_a_pipelining_client_is_seen_while_its_request_waits() {
+fn the_disconnect_of_a_pipelining_client_is_detected_while_its_request_waits() {
     let primary = ManualServer::new();
-    let gateway = gateway(&[(&primary.address, "read-write")], &patient());
+    let gateway = gateway(
+        &[(&primary.address, "read-write")],
+        &long_connect_settings(),
+    );
     let mut client = gateway.connect_client();
-    // Far more than a ring takes, all of it whole commands, behind one whose connection hangs.
-    let many: Vec<u8> = (0..400)
+    // Far more than the ring buffer holds, all of it complete requests, behind one whose connect is pending.
+    let requests: Vec<u8> = (0..400)
         .flat_map(|_| query_message(&insert("report")))
         .collect();
-    client.send(&many);
-    let talk = primary.accept();
+    client.send(&requests);
+    let connection = primary.accept();
     drop(client);
     gateway.wait_for_counter("gone=1");
-    hears_nothing(talk);
+    expect_close_without_statement(connection);
     assert!(
-        !primary.connects_within(SHOWS),
-        "nothing of the rest is sent on"
+        !primary.connects_within(OBSERVATION_TIME),
+        "no further request is sent"
     );
     assert!(gateway.counters().contains("taken.report=1 "));
 }
@@ -382,7 +391,7 @@
 #[test]
 fn requests_behind_one_whose_client_disconnected_are_never_sent() {
     let primary = ManualServer::new();
-    let gateway = gateway(&[(&primary.address, "read-write")], &usual());
+    let gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
     let mut client = gateway.connect_client();
     client.send(
         &[
@@ -391,84 +400,84 @@
         ]
         .concat(),
     );
-    let mut talk = primary.accept_ready();
-    talk.read_statement().unwrap();
-    // Its answer and its client's end both stand in the system as the program goes on.
+    let mut connection = primary.accept_ready();
+    connection.read_statement().unwrap();
+    // When the program resumes, the kernel already holds both the answer and the client's disconnect.
     gateway.pause();
-    talk.respond("INSERT", "late", "read-write");
+    connection.respond("INSERT", "late", "read-write");
     drop(client);
     gateway.signal("-CONT");
     gateway.wait_for_counter("clients.closed=1");
     assert_eq!(
-        next_read_within_shows(&mut talk.stream),
+        next_read_error(&mut connection.stream),
         ErrorKind::WouldBlock,
         "no second statement"
     );
-    assert!(!primary.connects_within(SHOWS));
+    assert!(!primary.connects_within(OBSERVATION_TIME));
 }
 
 #[test]
 fn an_attempt_whose_client_disconnects_or_cancels_during_connect_is_not_sent() {
     for cancels in [false, true] {
         let primary = ManualServer::new();
-        let gateway = gateway(&[(&primary.address, "read-write")], &patient());
-        let (mut client, key) = keyed(&gateway);
+        let gateway = gateway(
+            &[(&primary.address, "read-write")],
+            &long_connect_settings(),
+        );
+        let (mut client, key) = connect_with_cancel_key(&gateway);
         client.send(&query_message(&insert("order")));
-        let talk = primary.accept();
+        let connection = primary.accept();
         if cancels {
-            cancel(&gateway, key);
+            send_cancel_request(&gateway, key);
             assert_eq!(client.read_response(), "E C57014 Z");
         } else {
             drop(client);
         }
         gateway.wait_for_counter("gone=1");
-        hears_nothing(talk);
+        expect_close_without_statement(connection);
         assert!(gateway.counters().contains("ended.NotSent=1 "));
     }
 }
 
 #[test]
 fn a_cancel_ends_the_open_request_of_its_connection_and_no_other() {
-    let (go, held) = row_on_signal("late");
+    let (release, delayed_row) = row_on_signal("late");
     let primary = start_server(
         "read-write",
         vec![
-            held,
+            delayed_row,
             ServerAction::Row("next".into()),
             ServerAction::Row("other's".into()),
         ],
     );
-    let gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let (mut one, key) = keyed(&gateway);
-    let (mut other, others) = keyed(&gateway);
+    let gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
+    let (mut one, key) = connect_with_cancel_key(&gateway);
+    let (mut other, other_key) = connect_with_cancel_key(&gateway);
     let mut trace = String::new();
-    // Nothing is open: nothing is remembered.
-    cancel(&gateway, key);
+    // No request is open, so the cancel has no effect, now or later.
+    send_cancel_request(&gateway, key);
     one.send(&query_message(&insert("report")));
     next_statement(&primary);
-    // Keys that are none, one that is too short and one of another connection.
-    cancel(&gateway, [0; 8]);
-    cancel(&gateway, key.map(|byte| !byte));
-    cancel(&gateway, others);
-    let mut short = gateway.connect();
-    short
+    // Invalid keys, the key of another connection, and a packet that is too short.
+    send_cancel_request(&gateway, [0; 8]);
+    send_cancel_request(&gateway, key.map(|byte| !byte));
+    send_cancel_request(&gateway, other_key);
+    let mut short_packet = gateway.connect();
+    short_packet
         .write_all(&[&b"\0\0\0\x0c\x04\xd2\x16\x2e"[..], &key[..4]].concat())
         .unwrap();
-    assert_eq!(short.read(&mut [0; 1]).unwrap(), 0);
-    assert_eq!(
-        next_read_within_shows(&mut one.stream),
-        ErrorKind::WouldBlock
-    );
+    assert_eq!(short_packet.read(&mut [0; 1]).unwrap(), 0);
+    assert_eq!(next_read_error(&mut one.stream), ErrorKind::WouldBlock);
     one.stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-    cancel(&gateway, key);
+    send_cancel_request(&gateway, key);
     trace += &format!("cancelled: {}\n", one.read_response());
-    // The cancel was for the one before.
+    // The cancel applied to the request before.
     trace += &format!("the next: {}\n", one.run_statement(&insert("report")));
     trace += &format!("another's: {}\n", other.run_statement(&insert("report")));
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     drop(one);
     gateway.wait_for_counter("clients.closed=7");
-    cancel(&gateway, key);
+    send_cancel_request(&gateway, key);
     trace += &format!(
         "after the key's connection: {}\n",
         other.run_statement(&insert("report"))
@@ -480,42 +489,45 @@
 
 #[test]
 fn a_late_cancel_does_not_end_the_next_request() {
-    let (go, held) = row_on_signal("late");
-    let primary = start_server("read-write", vec![ServerAction::Row("first".into()), held]);
-    let gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let (mut client, key) = keyed(&gateway);
-    // Its connection comes up before, all but its last byte stands.
-    let mut late = gateway.connect();
+    let (release, delayed_row) = row_on_signal("late");
+    let primary = start_server(
+        "read-write",
+        vec![ServerAction::Row("first".into()), delayed_row],
+    );
+    let gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
+    let (mut client, key) = connect_with_cancel_key(&gateway);
+    // The cancel connection is opened before, and all but its last byte is sent.
+    let mut cancel_connection = gateway.connect();
     let packet = [&b"\0\0\0\x10\x04\xd2\x16\x2e"[..], &key].concat();
-    late.write_all(&packet[..15]).unwrap();
+    cancel_connection.write_all(&packet[..15]).unwrap();
     gateway.wait_for_counter("clients.opened=2");
-    thread::sleep(SHOWS);
+    thread::sleep(OBSERVATION_TIME);
     assert_eq!(client.run_statement(&insert("report")), "T D first C Z");
     next_statement(&primary);
     client.send(&query_message(&insert("report")));
     next_statement(&primary);
-    late.write_all(&packet[15..]).unwrap();
-    assert_eq!(late.read(&mut [0; 1]).unwrap(), 0);
-    go.send(()).unwrap();
+    cancel_connection.write_all(&packet[15..]).unwrap();
+    assert_eq!(cancel_connection.read(&mut [0; 1]).unwrap(), 0);
+    release.send(()).unwrap();
     assert_eq!(client.read_response(), "T D late C Z");
 }
 
 #[test]
 fn a_server_that_drains_during_connect_gets_nothing() {
-    let (drains, stays) = (ManualServer::new(), ManualServer::new());
+    let (draining, remaining) = (ManualServer::new(), ManualServer::new());
     let gateway = gateway(
         &[
-            (&drains.address, "read-write"),
-            (&stays.address, "read-only"),
+            (&draining.address, "read-write"),
+            (&remaining.address, "read-only"),
         ],
-        &patient(),
+        &long_connect_settings(),
     );
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
-    let mut hangs = drains.accept();
+    let mut pending = draining.accept();
     let changes = [
-        target("s0", &drains.address, "draining", "read-only"),
-        target("s1", &stays.address, "up", "read-write"),
+        target("s0", &draining.address, "draining", "read-only"),
+        target("s1", &remaining.address, "up", "read-write"),
     ];
     gateway
         .agent
@@ -530,12 +542,12 @@
             .unwrap()
             .contains("index=8")
     );
-    hangs.try_send_ready();
-    // The command goes on to the one that stays.
-    let mut talk = stays.accept_ready();
-    talk.answer_next("stays", "read-write");
+    pending.try_send_ready();
+    // The request is sent to the remaining server.
+    let mut connection = remaining.accept_ready();
+    connection.answer_next("stays", "read-write");
     assert_eq!(client.read_response(), "T D stays C Z");
-    assert_eq!(hangs.read_statement(), None);
+    assert_eq!(pending.read_statement(), None);
 }
 
 #[test]
@@ -550,10 +562,10 @@
     client.send(&query_message(&insert("report")));
     let mut first = primary.accept_ready();
     first.read_statement().unwrap();
-    // It may have run.
+    // The statement may have been executed.
     first.reset();
     let mut second = primary.accept();
-    // Held past the window, which began with the first dispatch.
+    // Held back past the key's validity, which began with the first attempt.
     thread::sleep((began + Duration::from_millis(1_200)).saturating_duration_since(Instant::now()));
     second.try_send_ready();
     assert_eq!(second.read_statement(), None);
@@ -561,20 +573,20 @@
 }
 
 #[test]
-fn the_server_is_told_the_wait_that_a_late_connection_leaves() {
+fn a_statement_carries_the_timeout_that_is_left_after_a_slow_connect() {
     let primary = ManualServer::new();
-    let near = settings(10_000, 30_000, 5_000).replace("30000.0", "2000.0");
-    let gateway = gateway(&[(&primary.address, "read-write")], &near);
+    let short_target_settings = settings(10_000, 30_000, 5_000).replace("30000.0", "2000.0");
+    let gateway = gateway(&[(&primary.address, "read-write")], &short_target_settings);
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
-    let mut talk = primary.accept();
-    thread::sleep(SHOWS);
-    talk.try_send_ready();
-    let statement = talk.answer_next("late", "read-write");
+    let mut connection = primary.accept();
+    thread::sleep(OBSERVATION_TIME);
+    connection.try_send_ready();
+    let statement = connection.answer_next("late", "read-write");
     assert_eq!(client.read_response(), "T D late C Z");
-    // The same connection again, which is up.
+    // The same connection again, which is now established.
     client.send(&query_message(&insert("order")));
-    let next = talk.answer_next("soon", "read-write");
+    let next = connection.answer_next("soon", "read-write");
     assert_eq!(client.read_response(), "T D soon C Z");
     assert!(
         deadline_ms(&statement) + 250 <= deadline_ms(&next).min(5_000),
@@ -585,14 +597,14 @@
 #[test]
 fn an_attempt_whose_client_timeout_ends_during_connect_is_not_sent() {
     let primary = ManualServer::new();
-    let near = settings(10_000, 3_000, 800).replace("30000.0", "400.0");
-    let gateway = gateway(&[(&primary.address, "read-write")], &near);
+    let short_target_settings = settings(10_000, 3_000, 800).replace("30000.0", "400.0");
+    let gateway = gateway(&[(&primary.address, "read-write")], &short_target_settings);
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
-    let talk = primary.accept();
-    // Nothing was sent: it may come again.
+    let connection = primary.accept();
+    // Nothing was sent, so the client may retry it.
     assert!(client.read_response().starts_with("E C53300"));
-    hears_nothing(talk);
+    expect_close_without_statement(connection);
 }
 
 #[test]
@@ -604,11 +616,11 @@
         "Transfer-Encoding: chunked\r\n\r\nffff\r\n",
         "\r\n",
     ] {
-        let (gateway, agent) = held_gateway(&known, &usual());
+        let (gateway, agent) = gateway_with_manual_agent(&known, &default_settings());
         let mut endless = agent.next_request();
         endless.send(&format!("HTTP/1.1 200 OK\r\n{head}{}", &known[..60]));
-        // It goes on and on, a byte now and then, until nobody hears it.
-        let says = thread::spawn(move || endless.send_until_closed(b' '));
+        // The response continues a byte at a time until the gateway closes the connection.
+        let writer_thread = thread::spawn(move || endless.send_until_closed(b' '));
         let again = agent.next_request();
         assert!(
             again.line.starts_with("GET /api/targets HTTP"),
@@ -619,30 +631,30 @@
             gateway.connect_client().run_statement(&insert("report")),
             "T D one C Z"
         );
-        says.join().unwrap();
+        writer_thread.join().unwrap();
     }
 }
 
 #[test]
 fn a_connect_that_never_completes_is_abandoned_and_holds_nothing() {
-    let (hangs, answers) = (
+    let (hanging, answering) = (
         ManualServer::new(),
         start_server("read-only", always_row("answers")),
     );
     let gateway = gateway(
         &[
-            (&hangs.address, "read-only"),
-            (&answers.address, "read-only"),
+            (&hanging.address, "read-only"),
+            (&answering.address, "read-only"),
         ],
-        &usual(),
+        &default_settings(),
     );
     let mut client = gateway.connect_client();
-    // By chance the one or the other is asked first: each read is answered all the same.
+    // The first server is chosen at random; each read is answered in either case.
     for _ in 0..12 {
         assert_eq!(client.run_statement(&select("view")), "T D answers C Z");
     }
-    // What it began was closed again, and a late word changes nothing.
-    while hangs.connects_within(Duration::ZERO) {}
+    // The pending connections were closed again, and accepting them late changes nothing.
+    while hanging.connects_within(Duration::ZERO) {}
     assert_eq!(client.run_statement(&select("view")), "T D answers C Z");
 }
 
@@ -650,26 +662,26 @@
 fn an_idle_connection_with_unexpected_input_or_a_close_is_not_reused() {
     for closed in [false, true] {
         let primary = ManualServer::new();
-        let gateway = gateway(&[(&primary.address, "read-write")], &usual());
+        let gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
         let mut client = gateway.connect_client();
         client.send(&query_message(&insert("order")));
-        let mut talk = primary.accept_ready();
-        talk.answer_next("first", "read-write");
+        let mut connection = primary.accept_ready();
+        connection.answer_next("first", "read-write");
         assert_eq!(client.read_response(), "T D first C Z");
-        // Both stand in the system as the program goes on: the client's command and what the server did.
+        // When the program resumes, the kernel already holds both the client's request and what the server did.
         gateway.pause();
         client.send(&query_message(&insert("order")));
         if closed {
-            talk.stream.shutdown(Shutdown::Both).unwrap();
+            connection.stream.shutdown(Shutdown::Both).unwrap();
         } else {
-            talk.stream.write_all(b"S\0\0\0\x18mode").unwrap();
+            connection.stream.write_all(b"S\0\0\0\x18mode").unwrap();
         }
         gateway.signal("-CONT");
         let mut fresh = primary.accept_ready();
         fresh.answer_next("second", "read-write");
         assert_eq!(client.read_response(), "T D second C Z");
         if !closed {
-            assert_eq!(talk.read_statement(), None);
+            assert_eq!(connection.read_statement(), None);
         }
     }
 }
@@ -677,7 +689,7 @@
 #[test]
 fn a_reset_before_the_last_byte_is_not_sent_and_one_after_it_possibly_executed() {
     let mut trace = String::new();
-    // Longer than both systems keep, so that its last byte can't have gone out.
+    // Longer than both kernel buffers, so that the last byte cannot have been sent.
     let long = |group: &str| insert(group).replace("9f", &"9f".repeat(64 << 10));
     for group in ["order", "report"] {
         let primary = ManualServer::with_receive_buffer(Some(4 << 10));
@@ -688,13 +700,13 @@
         let mut client = gateway.connect_client();
         client.send(&query_message(&long(group)));
         let mut cut = primary.accept_ready();
-        // Its first bytes are there, and no more are read.
+        // The first bytes have arrived, and no more are read.
         cut.stream.read_exact(&mut [0; 64]).unwrap();
         cut.reset();
         let mut whole = primary.accept_ready();
         let statement = whole.read_statement().unwrap();
         assert!(statement.starts_with("INSERT") && statement.len() > 128 << 10);
-        // Whole now: this one may have run.
+        // The statement is complete now, so this attempt may have been executed.
         whole.reset();
         if group == "report" {
             let mut again = primary.accept_ready();
@@ -713,21 +725,24 @@
 fn a_statement_whose_answer_has_begun_counts_as_executed() {
     let mut trace = String::new();
     let begun = row_messages("begun", WRITE_TAG);
-    let described = &begun[..begun[4] as usize + 1];
+    let description = &begun[..begun[4] as usize + 1];
     let mut error = Vec::new();
     put_message(&mut error, b'E', b"SERROR\0C25006\0Mno\0\0");
     let mut broken = Vec::new();
     put_message(&mut broken, b'E', b"SERROR\0C53300\0M");
-    let mut twice = Vec::new();
-    put_message(&mut twice, b'E', b"SERROR\0C53300\0CXX000\0Mno\0\0");
-    let ends = [
-        ("a miss behind a description", [described, &error].concat()),
+    let mut two_codes = Vec::new();
+    put_message(&mut two_codes, b'E', b"SERROR\0C53300\0CXX000\0Mno\0\0");
+    let cases = [
+        (
+            "a miss behind a description",
+            [description, &error].concat(),
+        ),
         ("cut in the row", begun[..40].to_vec()),
         ("an error without an end", broken),
-        ("an error of two codes", twice),
+        ("an error of two codes", two_codes),
         ("an error that is whole", error),
     ];
-    for (name, bytes) in ends {
+    for (name, bytes) in cases {
         let primary = start_server(
             "read-write",
             vec![
@@ -752,69 +767,75 @@
 }
 
 #[test]
-fn an_endless_answer_is_no_row_and_delays_nobody() {
+fn an_endless_answer_times_out_and_delays_no_other_client() {
     let endless = ManualServer::new();
     let other = start_server("read-write", always_row("fine"));
-    let near = settings(250, 3000, 60_000).replace("30000.0", "800.0");
+    let short_target_settings = settings(250, 3000, 60_000).replace("30000.0", "800.0");
     let gateway = gateway(
         &[
             (&other.address, "read-write"),
             (&endless.address, "read-only"),
         ],
-        &near,
+        &short_target_settings,
     );
     let mut client = gateway.connect_client();
     client.send(&query_message(&select("view")));
-    let mut talk = endless.accept_ready();
-    talk.read_statement().unwrap();
-    let mut words = Vec::new();
-    (0..500).for_each(|_| put_message(&mut words, b'N', b"SNOTICE\0Mon and on\0\0"));
-    let mut says = talk.stream.try_clone().unwrap();
-    // Until the gateway has closed.
-    let says = thread::spawn(move || while says.write_all(&words).is_ok() {});
+    let mut connection = endless.accept_ready();
+    connection.read_statement().unwrap();
+    let mut notices = Vec::new();
+    (0..500).for_each(|_| put_message(&mut notices, b'N', b"SNOTICE\0Mon and on\0\0"));
+    let mut writer = connection.stream.try_clone().unwrap();
+    // Writes until the gateway has closed the connection.
+    let writer_thread = thread::spawn(move || while writer.write_all(&notices).is_ok() {});
     assert_eq!(
         gateway.connect_client().run_statement(&insert("report")),
         "T D fine C Z"
     );
     assert_eq!(client.read_response(), "T D fine C Z");
-    says.join().unwrap();
+    writer_thread.join().unwrap();
     assert!(gateway.counters().contains("ended.TimedOut=1 "));
 }
 
 #[test]
 fn floods_of_disconnecting_clients_leave_nothing_behind() {
     let primary = ManualServer::new();
-    let gateway = gateway(&[(&primary.address, "read-write")], &patient());
-    let mut honest = gateway.connect_client();
+    let gateway = gateway(
+        &[(&primary.address, "read-write")],
+        &long_connect_settings(),
+    );
+    let mut well_behaved = gateway.connect_client();
     for nth in 1..=200 {
         let mut stream = gateway.connect();
         stream
             .write_all(&[STARTUP_MESSAGE, &query_message(&insert("order"))].concat())
             .unwrap();
-        // Half of them end in order, half are cut off over what they have not read.
+        // Half of them shut down in order, half are dropped with unread data, which resets the connection.
         if nth % 2 == 0 {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
     gateway.wait_for_counter("clients.closed=200");
-    // Whatever was begun for them has been let go without a statement.
-    let mut begun = 0;
-    honest.send(&query_message(&insert("report")));
+    // The attempts that were begun for them have ended without a statement.
+    let mut abandoned = 0;
+    well_behaved.send(&query_message(&insert("report")));
     loop {
-        let mut talk = primary.accept();
-        talk.try_send_ready();
-        if let Some(statement) = talk.read_statement() {
+        let mut connection = primary.accept();
+        connection.try_send_ready();
+        if let Some(statement) = connection.read_statement() {
             assert!(statement.contains("c=report"), "{statement}");
-            talk.respond(&statement, "honest", "read-write");
+            connection.respond(&statement, "honest", "read-write");
             break;
         }
-        begun += 1;
-        assert!(begun <= 200);
+        abandoned += 1;
+        assert!(abandoned <= 200);
     }
-    assert_eq!(honest.read_response(), "T D honest C Z");
-    let gone = gateway.counters();
-    assert_eq!(stands::counter_value(&gone, "failed"), Some("0"));
-    drop(honest);
+    assert_eq!(well_behaved.read_response(), "T D honest C Z");
+    let counters = gateway.counters();
+    assert_eq!(
+        gateway_process::counter_value(&counters, "failed"),
+        Some("0")
+    );
+    drop(well_behaved);
     gateway.wait_for_counter("clients.closed=201");
     gateway.signal("-USR1");
     let tables = gateway.wait_for_log("event=\"tables\"");
@@ -831,36 +852,40 @@
     let address = free_address();
     let known = full_endpoint_list(7, &[("s0", &primary.address, "up", "read-write")]);
     let file = std::env::temp_dir().join(format!("leverpoint-{}-early.json", std::process::id()));
-    std::fs::write(&file, config(&address, &agent.address, &known, &usual())).unwrap();
-    // Whoever opens the file waits until the lease on it is given up.
-    let lease = leverpoint_test_support::file_lease::FileLease::acquire(&file);
-    let mut child = stands::spawn_process(
+    std::fs::write(
+        &file,
+        config(&address, &agent.address, &known, &default_settings()),
+    )
+    .unwrap();
+    // The program's open of the file blocks until the lease is released.
+    let file_lease = leverpoint_test_support::file_lease::FileLease::acquire(&file);
+    let mut child = gateway_process::spawn_process(
         Command::new(program())
             .arg("serve")
             .env("NODE_CONFIG", &file)
             .stderr(Stdio::piped()),
     );
-    lease.wait_for_open();
+    file_lease.wait_for_open();
     for name in ["-HUP", "-USR1", "-TERM", "-HUP", "-TERM"] {
-        stands::output(Command::new("kill").args([name, &child.id().to_string()]));
+        gateway_process::output(Command::new("kill").args([name, &child.id().to_string()]));
     }
-    lease.release();
-    let mut said = String::new();
+    file_lease.release();
+    let mut stderr = String::new();
     child
         .stderr
         .take()
         .unwrap()
-        .read_to_string(&mut said)
+        .read_to_string(&mut stderr)
         .unwrap();
-    assert!(child.wait().unwrap().success(), "{said}");
-    let events: Vec<_> = said
+    assert!(child.wait().unwrap().success(), "{stderr}");
+    let events: Vec<_> = stderr
         .lines()
         .filter_map(|l| l.split("event=\"").nth(1)?.split('"').next())
         .collect();
-    assert_eq!(events.last(), Some(&"ended"), "{said}");
+    assert_eq!(events.last(), Some(&"ended"), "{stderr}");
     assert!(
         events.contains(&"serving") && events.contains(&"configuration reloaded"),
-        "{said}"
+        "{stderr}"
     );
     std::fs::remove_file(&file).unwrap();
 }
@@ -868,46 +893,51 @@
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_left_unread() {
     let primary = start_server("read-write", always_row("one"));
-    let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
-    let mut rests = gateway.connect_client();
-    assert_eq!(rests.run_statement(&insert("report")), "T D one C Z");
+    let mut gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
+    let mut idle_client = gateway.connect_client();
+    assert_eq!(idle_client.run_statement(&insert("report")), "T D one C Z");
     gateway.signal("-TERM");
-    // The gateway has said that nothing more comes.
-    assert_eq!(rests.read_response(), "end");
-    rests.send(&query_message(&insert("report")));
+    // The gateway has shut down its sending side.
+    assert_eq!(idle_client.read_response(), "end");
+    idle_client.send(&query_message(&insert("report")));
     let line = gateway.wait_for_log("event=\"counters\"");
     assert!(gateway.child.wait().unwrap().success());
-    // A close over what nobody has read is a reset; had it been read, there would be none.
-    let told = rests.stream.take_error().unwrap().map(|e| e.kind());
-    assert_eq!(told, Some(ErrorKind::BrokenPipe));
-    assert_eq!(stands::counter_value(&line, "taken.report"), Some("1"));
+    // Closing a socket with unread data resets the connection; if the request had been read, there would be no reset.
+    let socket_error = idle_client.stream.take_error().unwrap().map(|e| e.kind());
+    assert_eq!(socket_error, Some(ErrorKind::BrokenPipe));
+    assert_eq!(
+        gateway_process::counter_value(&line, "taken.report"),
+        Some("1")
+    );
 }
 
 #[test]
 fn requests_received_before_the_close_of_an_idle_connection_are_answered() {
     let primary = start_server("read-write", always_row("one"));
-    let near = usual().replace("30000.0", "800.0");
-    let mut gateway = gateway(&[(&primary.address, "read-write")], &near);
-    let mut rest: Vec<_> = (0..8).map(|_| gateway.connect_client()).collect();
+    let short_target_settings = default_settings().replace("30000.0", "800.0");
+    let mut gateway = gateway(&[(&primary.address, "read-write")], &short_target_settings);
+    let mut idle_clients: Vec<_> = (0..8).map(|_| gateway.connect_client()).collect();
     gateway.signal("-TERM");
     gateway.wait_for_log("event=\"ending\"");
-    // Stopped before it ends them; as it goes on its time is over and a command stands on each.
+    // Paused before it closes them; when it resumes, their time is over and each has a request waiting.
     gateway.pause();
-    rest.iter_mut()
+    idle_clients
+        .iter_mut()
         .for_each(|client| client.send(&query_message(&insert("report"))));
-    // And one that nobody has accepted yet.
+    // And a connection that is not accepted yet.
     let mut stream = gateway.connect();
     stream
         .write_all(&[STARTUP_MESSAGE, &query_message(&insert("report"))].concat())
         .unwrap();
     thread::sleep(Duration::from_millis(700));
     gateway.signal("-CONT");
-    rest.iter_mut()
+    idle_clients
+        .iter_mut()
         .for_each(|client| assert_eq!(client.read_response(), "T D one C Z"));
     let mut late = Client { stream };
     late.read_response();
     assert_eq!(late.read_response(), "T D one C Z");
-    drop((rest, late));
+    drop((idle_clients, late));
     gateway.wait_for_log("event=\"ended\"");
     assert!(gateway.child.wait().unwrap().success());
 }
@@ -916,7 +946,7 @@
 fn an_answer_unread_at_shutdown_is_still_whole() {
     let value = "ab".repeat(32 << 10);
     let primary = start_server("read-write", always_row(&value));
-    let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
+    let mut gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
     next_statement(&primary);
@@ -929,18 +959,18 @@
 #[test]
 fn with_hung_servers_each_client_is_answered_and_shutdown_is_in_time() {
     let primary = start_server("read-write", vec![ServerAction::NoResponse]);
-    let mut gateway = gateway(&[(&primary.address, "read-write")], &usual());
+    let mut gateway = gateway(&[(&primary.address, "read-write")], &default_settings());
     let (mut order, mut view) = (gateway.connect_client(), gateway.connect_client());
     order.send(&query_message(&insert("order")));
     view.send(&query_message(&select("view")));
     next_statement(&primary);
     gateway.signal("-TERM");
     let began = Instant::now();
-    // Their clients would wait for a minute, which the platform does not.
+    // The client timeout is a minute, which is longer than the platform's limit for a shutdown.
     assert_eq!(order.read_response(), "E C58000 Z");
     assert!(view.read_response().starts_with("E C53300"));
     assert!(gateway.child.wait().unwrap().success());
-    // The platform's own bound: 3 s and 0.7 s more.
+    // The platform's limit for a shutdown: 3 s and 0.7 s more.
     assert!(began.elapsed() < Duration::from_millis(3_700));
 }
 
@@ -948,28 +978,28 @@
 fn with_discovery_down_and_descriptors_exhausted_by_idle_clients_requests_still_get_one() {
     let primary = start_server("read-write", always_row("served"));
     let known = full_endpoint_list(7, &[("s0", &primary.address, "up", "read-write")]);
-    let held = ManualAgent::new();
+    let agent = ManualAgent::new();
     let address = free_address();
-    let text = config(&address, &held.address, "null", &usual()).replace("1024", "40");
-    // The limit is the system's as well.
-    let limited =
+    let text = config(&address, &agent.address, "null", &default_settings()).replace("1024", "40");
+    // The same limit is set in the operating system.
+    let limiting_script =
         std::env::temp_dir().join(format!("leverpoint-{}-limited.sh", std::process::id()));
     std::fs::write(
-        &limited,
+        &limiting_script,
         format!(
             "#!/bin/sh\nulimit -n 40\nexec {} \"$@\"\n",
             program().display()
         ),
     )
     .unwrap();
-    stands::output(Command::new("chmod").args(["+x", limited.to_str().unwrap()]));
-    let gateway = stands::start(&text, address, held.agent(), &limited, &[]);
-    std::fs::remove_file(&limited).unwrap();
-    let silent = held.next_request();
+    gateway_process::output(Command::new("chmod").args(["+x", limiting_script.to_str().unwrap()]));
+    let gateway = gateway_process::start(&text, address, agent.agent(), &limiting_script, &[]);
+    std::fs::remove_file(&limiting_script).unwrap();
+    let unanswered = agent.next_request();
     let mut idle: Vec<_> = (0..60)
         .map(|nth| {
             let mut stream = gateway.connect();
-            // Some say nothing, some only that they come, some ask whether it is ready.
+            // Some send nothing, some only a startup message, some also a readiness check.
             match nth % 3 {
                 0 => {}
                 1 => stream.write_all(STARTUP_MESSAGE).unwrap(),
@@ -980,20 +1010,21 @@
             stream
         })
         .collect();
-    drop(silent);
-    // The agent is asked again and again all the while, on connections of its own.
+    drop(unanswered);
+    // The gateway keeps polling the agent meanwhile, on new connections.
     for _ in 0..2 {
         assert!(
-            held.next_request()
+            agent
+                .next_request()
                 .line
                 .starts_with("GET /api/targets HTTP")
         );
     }
-    held.next_request().send(&http_ok(&known));
-    assert!(held.next_request().line.contains("index=7"));
-    // A new front finds it ready and a new client is served, though all those are still there.
-    let mut fresh = gateway.connect_client();
-    assert_eq!(fresh.run_statement(""), "I Z");
+    agent.next_request().send(&http_ok(&known));
+    assert!(agent.next_request().line.contains("index=7"));
+    // A new readiness check succeeds and a new client is served, although all idle clients are still connected.
+    let mut new_client = gateway.connect_client();
+    assert_eq!(new_client.run_statement(""), "I Z");
     assert_eq!(
         gateway.connect_client().run_statement(&insert("report")),
         "T D served C Z"
@@ -1013,12 +1044,12 @@
     let (one, two) = (ManualServer::new(), ManualServer::new());
     let gateway = gateway(
         &[(&one.address, "read-write"), (&two.address, "read-only")],
-        &usual(),
+        &default_settings(),
     );
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("report")));
-    let mut talk = one.accept_ready();
-    let statement = talk.read_statement().unwrap();
+    let mut connection = one.accept_ready();
+    let statement = connection.read_statement().unwrap();
     let changes = [
         target("s0", &one.address, "draining", "read-only"),
         target("s1", &two.address, "up", "read-write"),
@@ -1036,9 +1067,13 @@
             .unwrap()
             .contains("index=8")
     );
-    talk.respond(&statement, "finishes", "read-write");
+    connection.respond(&statement, "finishes", "read-write");
     assert_eq!(client.read_response(), "T D finishes C Z");
-    assert_eq!(talk.read_statement(), None, "closed once it has answered");
+    assert_eq!(
+        connection.read_statement(),
+        None,
+        "the connection is closed after the answer"
+    );
 }
 
 #[test]
@@ -1050,41 +1085,43 @@
             ServerAction::Row("more".into()),
         ],
     );
-    let gateway = gateway(&[(&primary.address, "read-only")], &usual());
+    let gateway = gateway(&[(&primary.address, "read-only")], &default_settings());
     let mut client = gateway.connect_client();
     assert_eq!(client.run_statement(&select("view")), "T D last C Z");
     assert_eq!(client.run_statement(&select("view")), "T D more C Z");
 }
 
-/// A session's read went to a replica without a check of its own before the position of its write was known.
+/// Guards against a session's read that is sent to a replica, without a check of the replica's position, before the
+/// position of the session's write is known.
 #[test]
 fn a_read_behind_a_write_without_a_reported_position_goes_to_the_primary() {
     let primary = ManualServer::new();
     let replica = start_server("read-only", always_row("old"));
-    let unchecked = usual()
+    let settings_without_checks = default_settings()
         .replace(r#""guards": "reject""#, r#""guards": "none""#)
         .replace(r#"["loose", "#, r#"["own_writes", "#);
     let servers = [
         (&*primary.address, "read-write"),
         (&*replica.address, "read-only"),
     ];
-    let gateway = gateway(&servers, &unchecked);
+    let gateway = gateway(&servers, &settings_without_checks);
     let mut client = gateway.connect_client();
     client.send(&query_message(&insert("order")));
-    let mut talk = primary.accept_ready();
-    talk.answer_next("first", "read-write");
+    let mut connection = primary.accept_ready();
+    connection.answer_next("first", "read-write");
     assert_eq!(client.read_response(), "T D first C Z");
     // Another session's read shows that the replica has the first write.
-    let elsewhere = select("view").replace("7f3a", "8e4b");
+    let other_session_read = select("view").replace("7f3a", "8e4b");
     assert_eq!(
-        gateway.connect_client().run_statement(&elsewhere),
+        gateway.connect_client().run_statement(&other_session_read),
         "T D old C Z"
     );
     next_statement(&replica);
-    // The row is here, what the server says of itself behind it is not.
+    // The row has arrived, the server's status parameters that follow it have not.
     client.send(&query_message(&insert("order")));
-    talk.read_statement().unwrap();
-    talk.stream
+    connection.read_statement().unwrap();
+    connection
+        .stream
         .write_all(&row_messages("second", WRITE_TAG))
         .unwrap();
     assert_eq!(client.read_response(), "T D second C Z");
@@ -1092,8 +1129,8 @@
     let mut other = primary.accept_ready();
     assert!(other.answer_next("new", "read-write").starts_with("SELECT"));
     assert_eq!(client.read_response(), "T D new C Z");
-    // And now it never comes.
-    drop(talk);
+    // Now the status never arrives.
+    drop(connection);
     client.send(&query_message(&select("view")));
     other.answer_next("served", "read-write");
     assert_eq!(client.read_response(), "T D served C Z");
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! A session reads its own writes through a gateway that has no state of the session, and after a restart, while replicas
-//! lag.
+//! A session reads its own writes through a gateway that has no state of the session, and after a restart, while
+//! replicas lag.
 
 use std::path::Path;
 use std::time::Duration;
@@ -131,7 +131,8 @@
         log.contains("\"many\"=1") || log.contains("many=1") || log.contains("many=\"1\""),
         "{log}"
     );
-    // A session that has written gets at least its write, from the primary; one that has not written may read from a replica.
+    // A session that has written gets at least its write, from the primary; one that has not written may read from a
+    // replica.
     assert!(
         second
             .connect_client()
--- a/crates/gateway/tests/slow.rs
+++ b/crates/gateway/tests/slow.rs
@@ -1,5 +1,5 @@
-//! Slow clients and servers beside well-behaved ones, on real connections. Every difficult case is forced, never left to
-//! timing.
+//! Slow clients and servers beside well-behaved ones, on real connections. Every difficult case is forced, never left
+//! to timing.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -75,8 +75,8 @@
     count.unwrap_or_else(|| panic!("{name} in {line}"))
 }
 
-/// Runs `count` clients that never read beside a well-behaved client, which must get every answer; afterwards all buffers
-/// must be released.
+/// Runs `count` clients that never read beside a well-behaved client, which must get every answer; afterwards all
+/// buffers must be released.
 fn check_beside_clients_that_never_read(count: usize, limits: (usize, usize)) {
     let replica = start_server("read-only", always_row(&long_value()));
     let primary = start_server("read-write", always_row("honest"));
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program as it is, between stand-ins for database servers, discovery and clients on loopback.
+//! End-to-end tests of the program with simulated database servers, discovery and clients on loopback.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -9,7 +9,7 @@
 
 use leverpoint_test_support::agent::start_agent;
 use leverpoint_test_support::client::Client;
-use leverpoint_test_support::gateway::{self as stands, Gateway, config};
+use leverpoint_test_support::gateway::{self as gateway_process, Gateway, config};
 use leverpoint_test_support::server::{
     Server, ServerAction, always_row, next_statement, row_on_signal, start_server,
 };
@@ -22,13 +22,13 @@
     Path::new(env!("CARGO_BIN_EXE_leverpoint"))
 }
 
-/// A gateway that has these servers on its list.
+/// Starts a gateway whose endpoint list holds these servers.
 fn gateway(servers: &[(&Server, &str)]) -> Gateway {
     gateway_with(servers, settings(), (192, 1024))
 }
 
 fn gateway_with(servers: &[(&Server, &str)], settings: &str, limits: (usize, usize)) -> Gateway {
-    stands::start_with_servers(program(), servers, settings, limits, &[])
+    gateway_process::start_with_servers(program(), servers, settings, limits, &[])
 }
 
 fn settings() -> &'static str {
@@ -48,8 +48,8 @@
     "tenants": [{"name": "acme", "share": 1.0, "quotaPerS": 100.0}]}"#
 }
 
-/// The same with near targets, for what is waited for.
-fn near() -> String {
+/// The same settings with response targets of 0.8 s, for tests that wait until a target has passed.
+fn short_target_settings() -> String {
     settings().replace("30000.0", "800.0")
 }
 
@@ -87,9 +87,9 @@
     stream
         .write_all(b"\0\0\0\x08\x04\xd2\x16\x2f\0\0\0\x08\x04\xd2\x16\x30")
         .unwrap();
-    let mut no = [0; 2];
-    stream.read_exact(&mut no).unwrap();
-    // The startup message and all that follows in one piece.
+    let mut tls_refusals = [0; 2];
+    stream.read_exact(&mut tls_refusals).unwrap();
+    // The startup message and all statements in one write.
     let mut bytes = STARTUP_MESSAGE.to_vec();
     for text in [
         "",
@@ -104,7 +104,7 @@
     put_message(&mut bytes, b'X', b"");
     stream.write_all(&bytes).unwrap();
     let mut client = Client { stream };
-    let mut trace = format!("{}\n", String::from_utf8_lossy(&no));
+    let mut trace = format!("{}\n", String::from_utf8_lossy(&tls_refusals));
     (0..8).for_each(|_| trace += &format!("{}\n", client.read_response()));
     insta::assert_snapshot!(trace);
 }
@@ -113,20 +113,23 @@
 fn a_read_is_retried_after_each_kind_of_failed_attempt() {
     let mut trace = String::new();
     let whole = row_messages("spoilt", READ_TAG);
-    let cut = whole[..40].to_vec();
-    let spoilt = |at: usize, byte: u8| {
+    let truncated = whole[..40].to_vec();
+    let with_byte = |at: usize, byte: u8| {
         let mut bytes = whole.clone();
         bytes[at] = byte;
         ServerAction::BytesThenDisconnect(bytes)
     };
     let (description, value) = (whole[4] as usize + 1, whole.len() - "spoilt".len() - 14);
-    let ends = [
+    let cases = [
         ("too far behind", ServerAction::ErrorCode("72000")),
         ("full", ServerAction::ErrorCode("53300")),
         ("an error", ServerAction::ErrorCode("XX000")),
         ("no more connections", ServerAction::Disconnect),
         ("reset", ServerAction::Disconnect),
-        ("cut in the row", ServerAction::BytesThenDisconnect(cut)),
+        (
+            "cut in the row",
+            ServerAction::BytesThenDisconnect(truncated),
+        ),
         (
             "garbage",
             ServerAction::BytesThenDisconnect(b"no such protocol at all".to_vec()),
@@ -139,11 +142,11 @@
             "a completion without a row",
             ServerAction::BytesThenDisconnect(b"C\0\0\0\x0dSELECT 1\0".to_vec()),
         ),
-        ("a value shorter than it says", spoilt(value - 1, 200)),
-        ("a value longer than it says", spoilt(value - 1, 2)),
-        ("a value of less than nothing", spoilt(value - 4, 255)),
-        ("two columns", spoilt(6, 2)),
-        ("a description of more", spoilt(8, b'v')),
+        ("a value shorter than it says", with_byte(value - 1, 200)),
+        ("a value longer than it says", with_byte(value - 1, 2)),
+        ("a value of less than nothing", with_byte(value - 4, 255)),
+        ("two columns", with_byte(6, 2)),
+        ("a description of more", with_byte(8, b'v')),
         (
             "two rows",
             ServerAction::BytesThenDisconnect(
@@ -160,23 +163,23 @@
         ),
         ("silence", ServerAction::NoResponse),
     ];
-    for (name, end) in ends {
+    for (name, action) in cases {
         let (primary, replica) = (
             start_server("read-write", always_row("primary's")),
-            start_server(name, vec![end]),
+            start_server(name, vec![action]),
         );
-        // Near targets, as silence is waited for.
-        let near = near();
+        // Short targets, as the test waits out the attempt that gets no response.
+        let short_targets = short_target_settings();
         let gateway = gateway_with(
             &[(&primary, "read-write"), (&replica, "read-only")],
-            &near,
+            &short_targets,
             (192, 1024),
         );
         trace += &format!(
             "{name}: {} ",
             gateway.connect_client().run_statement(&select("view"))
         );
-        let counted = gateway.shut_down(&[
+        let counters = gateway.shut_down(&[
             "ended.Missed",
             "ended.Full",
             "ended.Error",
@@ -184,7 +187,7 @@
             "ended.TimedOut",
             "ended.Answered",
         ]);
-        trace += &format!("{}\n", counted.replace("ended.", ""));
+        trace += &format!("{}\n", counters.replace("ended.", ""));
     }
     insta::assert_snapshot!(trace);
 }
@@ -197,26 +200,26 @@
         vec![b'x'; 40 << 10],
         b"S\0\0\0\x08st\0\xff".to_vec(),
     ];
-    let mut does: Vec<_> = behind
+    let mut actions: Vec<_> = behind
         .into_iter()
         .map(|more| ServerAction::RowThenBytes("one".into(), more))
         .collect();
-    // Its own words are no role and no position: the row counts all the same.
-    let wrong: [&[u8]; 3] = [
+    // Invalid status parameters: they give no role and no position, and the row still counts.
+    let invalid_parameters: [&[u8]; 3] = [
         b"mode\0read-\xff\0",
         b"wal_time\x001e300\0",
         b"stats\0inflight=\0",
     ];
-    let mut odd = row_messages("two", WRITE_TAG);
-    wrong
+    let mut invalid_status = row_messages("two", WRITE_TAG);
+    invalid_parameters
         .iter()
-        .for_each(|word| put_message(&mut odd, b'S', word));
-    put_message(&mut odd, b'Z', b"I");
-    does.extend([
-        ServerAction::BytesThenDisconnect(odd),
+        .for_each(|parameter| put_message(&mut invalid_status, b'S', parameter));
+    put_message(&mut invalid_status, b'Z', b"I");
+    actions.extend([
+        ServerAction::BytesThenDisconnect(invalid_status),
         ServerAction::Row("three".into()),
     ]);
-    let primary = start_server("read-write", does);
+    let primary = start_server("read-write", actions);
     let gateway = gateway(&[(&primary, "read-write")]);
     let mut client = gateway.connect_client();
     let mut trace = String::new();
@@ -233,8 +236,8 @@
 #[test]
 fn a_possibly_executed_write_fails_and_one_not_executed_is_shed() {
     let mut trace = String::new();
-    let gone = || {
-        // Nobody listens there any more.
+    let closed_server = || {
+        // Nothing listens on this address any more.
         let address = TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
@@ -253,15 +256,15 @@
                 vec![ServerAction::Disconnect, ServerAction::Row("again".into())],
             ),
         ),
-        ("refused before it", gone()),
+        ("refused before it", closed_server()),
         (
             "turned away by its queue",
             start_server("read-write", vec![ServerAction::ErrorCode("53300")]),
         ),
     ];
     for (name, primary) in cases {
-        let near = near();
-        let gateway = gateway_with(&[(&primary, "read-write")], &near, (192, 1024));
+        let short_targets = short_target_settings();
+        let gateway = gateway_with(&[(&primary, "read-write")], &short_targets, (192, 1024));
         trace += &format!(
             "{name}: {} ",
             gateway.connect_client().run_statement(&insert("order"))
@@ -300,28 +303,28 @@
     assert_eq!(client.run_statement(&select("view")), "T D in time C Z");
     next_statement(&replica);
     assert_eq!(next_statement(&replica), "closed");
-    // Nothing stands between the last answer and the next.
+    // No bytes are left between the last answer and the next.
     assert_eq!(client.run_statement(""), "I Z");
 }
 
 #[test]
 fn a_client_disconnect_ends_its_own_request_only() {
-    let (go, waits) = row_on_signal("late");
+    let (release, delayed_row) = row_on_signal("late");
     let primary = start_server(
         "read-write",
-        vec![waits, ServerAction::Row("other's".into())],
+        vec![delayed_row, ServerAction::Row("other's".into())],
     );
     let gateway = gateway(&[(&primary, "read-write")]);
-    let mut gone = gateway.connect_client();
-    gone.send(&query_message(&insert("report")));
+    let mut disconnecting = gateway.connect_client();
+    disconnecting.send(&query_message(&insert("report")));
     next_statement(&primary);
     let mut other = gateway.connect_client();
     assert_eq!(other.run_statement(&insert("report")), "T D other's C Z");
-    drop(gone);
-    // Until its going has been met.
+    drop(disconnecting);
+    // Until the gateway has detected the disconnect.
     while !gateway.counters().contains(" gone=1 ") {}
     assert_eq!(other.run_statement(&insert("report")), "T D other's C Z");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     drop(other);
     insta::assert_snapshot!(gateway.shut_down(&[
         "taken.report",
@@ -351,19 +354,20 @@
     let primary = start_server("read-write", always_row(&value));
     let gateway = gateway(&[(&primary, "read-write")]);
     let (mut slow, mut other) = (gateway.connect_client(), gateway.connect_client());
-    // Far more than the system keeps for a connection both ways.
-    let many = 400;
+    // Far more than the kernel buffers of the connection hold in both directions.
+    let count = 400;
     let text = query_message(&insert("report"));
-    let mut ahead = slow.stream.try_clone().unwrap();
-    let sends = thread::spawn(move || (0..many).for_each(|_| ahead.write_all(&text).unwrap()));
-    sends.join().unwrap();
+    let mut writer = slow.stream.try_clone().unwrap();
+    let writer_thread =
+        thread::spawn(move || (0..count).for_each(|_| writer.write_all(&text).unwrap()));
+    writer_thread.join().unwrap();
     for _ in 0..5 {
         assert_eq!(
             other.run_statement(&insert("report")),
             "T D of 65536 bytes C Z"
         );
     }
-    for nth in 0..many {
+    for nth in 0..count {
         assert_eq!(
             slow.read_response(),
             "T D of 65536 bytes C Z",
@@ -378,59 +382,62 @@
         start_server("read-write", always_row("one")),
         start_server("read-write", always_row("two")),
     );
-    // A grace by which no call comes beside another within the steps of this test.
-    let near = near()
+    // A drain grace so long that no second call is made beside a pending one during this test.
+    let short_targets = short_target_settings()
         .replace("60000.0", "2000.0")
         .replace("Ms\": 500.0", "Ms\": 60000.0");
-    let gateway = gateway_with(&[(&one, "read-write")], &near, (192, 1024));
+    let gateway = gateway_with(&[(&one, "read-write")], &short_targets, (192, 1024));
     let mut client = gateway.connect_client();
     let mut trace = format!("at first: {}\n", client.run_statement(&insert("report")));
-    let moved = endpoint_list(8, false, &[target("s0", &two.address, "up", "read-write")]);
-    // The next ask shows that the last answer was read.
-    let mut tell = |name: &str, word: String, client: &mut Client| {
-        gateway.agent.responses.send(word).unwrap();
-        let asked = gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
+    let changed_list = endpoint_list(8, false, &[target("s0", &two.address, "up", "read-write")]);
+    // The next request shows that the last response was read.
+    let mut respond = |name: &str, response: String, client: &mut Client| {
+        gateway.agent.responses.send(response).unwrap();
+        let request = gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
         let answer = client.run_statement(&insert("report"));
         trace += &format!(
             "{name}: {answer}, asked {}\n",
-            asked.replace("HTTP/1.1", "").trim()
+            request.replace("HTTP/1.1", "").trim()
         );
     };
-    tell("moved", http_ok(&moved), &mut client);
-    tell(
+    respond("moved", http_ok(&changed_list), &mut client);
+    respond(
         "500",
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".into(),
         &mut client,
     );
-    tell("no JSON", http_ok("{\"rev\":9,"), &mut client);
-    tell(
+    respond("no JSON", http_ok("{\"rev\":9,"), &mut client);
+    respond(
         "a wrong length",
         "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n".into(),
         &mut client,
     );
-    tell(
+    respond(
         "half an answer",
         "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"rev\":9,cut".into(),
         &mut client,
     );
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let nothing = endpoint_list(9, false, &[]);
-    tell(
+    let empty_list = endpoint_list(9, false, &[]);
+    respond(
         "nothing new, in chunks",
-        format!("{chunked}{:x}\r\n{nothing}\r\n0\r\n\r\n", nothing.len()),
+        format!(
+            "{chunked}{:x}\r\n{empty_list}\r\n0\r\n\r\n",
+            empty_list.len()
+        ),
         &mut client,
     );
-    tell(
+    respond(
         "changes of an older list",
         http_ok(&endpoint_list(3, false, &[])),
         &mut client,
     );
-    let drains = endpoint_list(
+    let draining_list = endpoint_list(
         10,
         true,
         &[target("s0", &two.address, "draining", "read-write")],
     );
-    tell("drains", http_ok(&drains), &mut client);
+    respond("drains", http_ok(&draining_list), &mut client);
     insta::assert_snapshot!(trace);
 }
 
@@ -450,11 +457,18 @@
         .responses
         .send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into())
         .unwrap();
-    let asked = gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
-    // What has changed since the list that is held, as the whole one costs a crowded discovery more.
-    assert!(asked.starts_with("GET /api/targets?index=7&"), "{asked}");
-    let moved = endpoint_list(8, true, &[target("s0", &two.address, "up", "read-write")]);
-    gateway.agent.responses.send(http_ok(&moved)).unwrap();
+    let request = gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
+    // Only the changes since the current list, as a full listing costs an overloaded discovery more.
+    assert!(
+        request.starts_with("GET /api/targets?index=7&"),
+        "{request}"
+    );
+    let changed_list = endpoint_list(8, true, &[target("s0", &two.address, "up", "read-write")]);
+    gateway
+        .agent
+        .responses
+        .send(http_ok(&changed_list))
+        .unwrap();
     gateway.agent.requests.recv_timeout(WAIT_LIMIT).unwrap();
     assert_eq!(
         gateway.connect_client().run_statement(&insert("report")),
@@ -471,46 +485,50 @@
     let gateway = gateway(&[(&one, "read-write")]);
     let mut client = gateway.connect_client();
     let mut trace = format!("at first: {}\n", client.run_statement(&insert("report")));
-    let elsewhere = start_agent();
-    // No list of its own: what is held goes on deciding. The environment still names the old address.
-    let fine = config(&gateway.address, &elsewhere.address, "null", settings());
+    let new_agent = start_agent();
+    // The new configuration has no list: the current one stays in use. The environment still names the old address.
+    let valid = config(&gateway.address, &new_agent.address, "null", settings());
     let mut reload = |name: &str, text: &str, event: &str| {
         std::fs::write(&gateway.config_path, text).unwrap();
         gateway.signal("-HUP");
         let line = gateway.wait_for_log(event);
-        let told = line
+        let log_fields = line
             .split_once("event=")
             .unwrap()
             .1
             .replace(&gateway.config_path.display().to_string(), "FILE");
-        let told = told.replace(&elsewhere.address, "ELSEWHERE");
+        let log_fields = log_fields.replace(&new_agent.address, "ELSEWHERE");
         trace += &format!(
-            "{name}: {told}; {}\n",
+            "{name}: {log_fields}; {}\n",
             client.run_statement(&insert("report"))
         );
     };
-    // Cut at a place of the text, not of its length, which changes with the addresses.
-    let half = fine.find("semantics").unwrap();
-    reload("half written", &fine[..half], "configuration rejected");
+    // Truncated at a given word, not at a length, as the length changes with the addresses.
+    let truncate_at = valid.find("semantics").unwrap();
+    reload(
+        "half written",
+        &valid[..truncate_at],
+        "configuration rejected",
+    );
     reload(
         "a bad key",
-        &fine.replace("\"coldMs\": 9000.0", "\"coldMs\": -1"),
+        &valid.replace("\"coldMs\": 9000.0", "\"coldMs\": -1"),
         "configuration rejected",
     );
-    reload("elsewhere", &fine, "configuration reloaded");
-    let changed = fine
+    reload("elsewhere", &valid, "configuration reloaded");
+    let changed = valid
         .replace("192", "64")
         .replace("\"worth\": 1.0,", "\"worth\": 2.0,");
     reload("limits too", &changed, "configuration reloaded");
-    // The watch on the old address is dropped, the whole list asked for and taken, though its number is lower.
+    // The watch on the old address is dropped; a full listing is requested and applied, although its revision is lower.
     assert!(
-        elsewhere
+        new_agent
             .requests
             .recv_timeout(WAIT_LIMIT)
             .unwrap()
             .starts_with("GET /api/targets HTTP")
     );
-    elsewhere
+    new_agent
         .responses
         .send(http_ok(&endpoint_list(
             2,
@@ -519,7 +537,7 @@
         )))
         .unwrap();
     assert!(
-        elsewhere
+        new_agent
             .requests
             .recv_timeout(WAIT_LIMIT)
             .unwrap()
@@ -610,39 +628,42 @@
 
 #[test]
 fn an_invalid_client_is_refused_at_once_and_reaches_no_server() {
-    let (go, waits) = row_on_signal("waited");
-    let primary = start_server("read-write", vec![waits]);
+    let (release, delayed_row) = row_on_signal("waited");
+    let primary = start_server("read-write", vec![delayed_row]);
     let gateway = gateway(&[(&primary, "read-write")]);
-    let (mut honest, mut other) = (gateway.connect_client(), gateway.connect_client());
+    let (mut well_behaved, mut other) = (gateway.connect_client(), gateway.connect_client());
     let text = insert("report");
-    honest.send(&query_message(&text));
+    well_behaved.send(&query_message(&text));
     next_statement(&primary);
     let mut trace = format!(
         "the id of an open command: {}\n",
         other.run_statement(&text)
     );
-    // Sends at full speed until it is stopped, and reads what it is sent.
-    let mut floods = gateway.connect_client();
-    let mut sends = floods.stream.try_clone().unwrap();
-    let sender = thread::spawn(move || {
-        let _ = sends.write_all(b"Q\x03\x93\x87\0");
-        while sends.write_all(&[b'x'; 64 << 10]).is_ok() {}
+    // Sends at full speed until the gateway closes the connection, and reads the responses.
+    let mut flooding = gateway.connect_client();
+    let mut writer = flooding.stream.try_clone().unwrap();
+    let writer_thread = thread::spawn(move || {
+        let _ = writer.write_all(b"Q\x03\x93\x87\0");
+        while writer.write_all(&[b'x'; 64 << 10]).is_ok() {}
     });
-    trace += &format!("60 MB: {}\n", floods.read_response());
-    sender.join().unwrap();
-    go.send(()).unwrap();
-    trace += &format!("the honest one: {}\n", honest.read_response());
-    go.send(()).unwrap();
+    trace += &format!("60 MB: {}\n", flooding.read_response());
+    writer_thread.join().unwrap();
+    release.send(()).unwrap();
+    trace += &format!("the honest one: {}\n", well_behaved.read_response());
+    release.send(()).unwrap();
     trace += &format!("its id is free again: {}\n", other.run_statement(&text));
-    let mut stops = gateway.connect_client();
-    stops.send(&query_message(&insert("report"))[..40]);
-    trace += &format!("half a command: {}\n", stops.read_response());
-    let mut silent = TcpStream::connect(&gateway.address).unwrap();
-    silent.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-    silent.write_all(&STARTUP_MESSAGE[..9]).unwrap();
+    let mut partial = gateway.connect_client();
+    partial.send(&query_message(&insert("report"))[..40]);
+    trace += &format!("half a command: {}\n", partial.read_response());
+    let mut partial_startup = TcpStream::connect(&gateway.address).unwrap();
+    partial_startup.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
+    partial_startup.write_all(&STARTUP_MESSAGE[..9]).unwrap();
     trace += &format!(
         "half a startup: {}\n",
-        Client { stream: silent }.read_response()
+        Client {
+            stream: partial_startup
+        }
+        .read_response()
     );
     trace += &format!("heard besides {}\n", primary.statements.try_iter().count());
     trace += &gateway.shut_down(&["answered", "throttled", "failed", "bad_messages"]);
@@ -652,11 +673,14 @@
 #[test]
 fn silent_clients_make_room_and_delay_nobody() {
     let primary = start_server("read-write", always_row("served"));
-    // Four descriptors for clients.
+    // Leaves four descriptors for clients.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 25));
-    let mut honest = gateway.connect_client();
-    assert_eq!(honest.run_statement(&insert("report")), "T D served C Z");
-    let crowd: Vec<_> = (0..40)
+    let mut well_behaved = gateway.connect_client();
+    assert_eq!(
+        well_behaved.run_statement(&insert("report")),
+        "T D served C Z"
+    );
+    let silent: Vec<_> = (0..40)
         .map(|_| TcpStream::connect(&gateway.address).unwrap())
         .collect();
     let admitted: Vec<_> = (0..10).map(|_| gateway.connect_client()).collect();
@@ -666,9 +690,12 @@
             "T D served C Z"
         );
     }
-    // One that has asked something goes after all that have not.
-    assert_eq!(honest.run_statement(&insert("report")), "T D served C Z");
-    drop((crowd, admitted));
+    // A client that has sent a request is evicted only after all that have not.
+    assert_eq!(
+        well_behaved.run_statement(&insert("report")),
+        "T D served C Z"
+    );
+    drop((silent, admitted));
     assert_eq!(
         gateway.shut_down(&["answered", "throttled", "failed"]),
         "answered=5 throttled=0 failed=0 "
@@ -678,17 +705,19 @@
 #[test]
 fn clients_idle_after_one_request_make_room_for_others() {
     let primary = start_server("read-write", always_row("served"));
-    // Ten that may stay, far fewer than have a descriptor.
+    // Ten clients may stay idle, far fewer than there are descriptors.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 60));
-    let mut stay: Vec<_> = (0..15).map(|_| gateway.connect_client()).collect();
-    for client in &mut stay {
+    let mut clients: Vec<_> = (0..15).map(|_| gateway.connect_client()).collect();
+    for client in &mut clients {
         assert_eq!(client.run_statement(&insert("report")), "T D served C Z");
     }
-    // The longest idle have left; the newest are there.
-    let (left, here) = stay.split_at_mut(5);
-    left.iter_mut()
+    // The clients that were idle longest have been closed; the newest remain.
+    let (evicted, remaining) = clients.split_at_mut(5);
+    evicted
+        .iter_mut()
         .for_each(|client| assert_eq!(client.read_response(), "end"));
-    here.iter_mut()
+    remaining
+        .iter_mut()
         .for_each(|client| assert_eq!(client.run_statement(""), "I Z"));
 }
 
@@ -696,10 +725,11 @@
 fn stalled_long_messages_reserve_no_buffer_from_others() {
     let primary = start_server("read-write", always_row("served"));
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (32, 1024));
-    let whole = query_message(&insert("report").replace("9f", &"9f".repeat(64 << 10)));
-    let mut stop: Vec<_> = (0..200).map(|_| gateway.connect_client()).collect();
-    stop.iter_mut()
-        .for_each(|client| client.send(&whole[..3000]));
+    let message = query_message(&insert("report").replace("9f", &"9f".repeat(64 << 10)));
+    let mut stalled: Vec<_> = (0..200).map(|_| gateway.connect_client()).collect();
+    stalled
+        .iter_mut()
+        .for_each(|client| client.send(&message[..3000]));
     assert_eq!(
         gateway
             .connect_client()
@@ -710,10 +740,10 @@
 
 #[test]
 fn sigterm_answers_accepted_requests_and_closes_between_requests() {
-    let (go, waits) = row_on_signal("answered all the same");
+    let (release, delayed_row) = row_on_signal("answered all the same");
     let primary = start_server(
         "read-write",
-        vec![waits, ServerAction::Row("taken on".into())],
+        vec![delayed_row, ServerAction::Row("taken on".into())],
     );
     let mut gateway = gateway(&[(&primary, "read-write")]);
     let (mut busy, mut idle) = (gateway.connect_client(), gateway.connect_client());
@@ -730,7 +760,7 @@
     trace += &format!("an idle one: {}\n", idle.read_response());
     trace += &format!("the new one: {}\n", late.read_response());
     drop((idle, late));
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     trace += &format!(
         "a busy one: {}, then {}\n",
         busy.read_response(),
@@ -748,9 +778,9 @@
 
 #[test]
 fn short_of_descriptors_an_idle_client_is_closed_and_the_excess_is_rejected() {
-    let (go, waits) = row_on_signal("waited");
-    let primary = start_server("read-write", vec![waits]);
-    // Nine descriptors for connections: four for clients, as many for servers, one for what is sent back.
+    let (release, delayed_row) = row_on_signal("waited");
+    let primary = start_server("read-write", vec![delayed_row]);
+    // Nine descriptors for connections: four for clients, four for servers, one for a connection that is rejected.
     let gateway = gateway_with(&[(&primary, "read-write")], settings(), (192, 25));
     let mut busy: Vec<_> = (0..4).map(|_| gateway.connect_client()).collect();
     for client in &mut busy {
@@ -761,22 +791,22 @@
         "a fifth: {}\n",
         gateway.connect_client().run_statement(&insert("report"))
     );
-    go.send(()).unwrap();
-    (0..3).for_each(|_| go.send(()).unwrap());
+    release.send(()).unwrap();
+    (0..3).for_each(|_| release.send(()).unwrap());
     busy.iter_mut()
         .for_each(|client| trace += &format!("a busy one: {}\n", client.read_response()));
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     trace += &format!(
         "a sixth: {}\n",
         gateway.connect_client().run_statement(&insert("report"))
     );
-    // The one that was idle for longest has gone; which it is depends on who was answered first.
-    let mut left: Vec<_> = busy
+    // The client that was idle longest has been closed; which one depends on the order of the answers.
+    let mut responses: Vec<_> = busy
         .iter_mut()
         .map(|client| client.run_statement(""))
         .collect();
-    left.sort();
-    trace += &format!("the four: {left:?}\n");
+    responses.sort();
+    trace += &format!("the four: {responses:?}\n");
     drop(busy);
     trace += &gateway.shut_down(&["answered", "throttled", "clients.refused"]);
     insta::assert_snapshot!(trace);
@@ -793,7 +823,7 @@
     gateway.child.wait().unwrap();
     let agent = start_agent();
     let text = config(&gateway.address, &agent.address, "null", settings());
-    let gateway = stands::start(&text, gateway.address.clone(), agent, program(), &[]);
+    let gateway = gateway_process::start(&text, gateway.address.clone(), agent, program(), &[]);
     let mut client = gateway.connect_client();
     client.send(&query_message(""));
     assert!(
@@ -816,25 +846,28 @@
 
 #[test]
 fn a_faulty_configuration_is_reported_in_one_line_that_names_the_key() {
-    let fine = config("127.0.0.1:6432", "127.0.0.1:8500", "null", settings());
+    let valid = config("127.0.0.1:6432", "127.0.0.1:8500", "null", settings());
     let cases = [
-        ("fine", fine.clone()),
+        ("fine", valid.clone()),
         ("no JSON", "{".into()),
-        ("listen", fine.replace("127.0.0.1:6432", "here")),
-        ("seed", fine.replace("8c1f30d27a5be964", "lucky")),
-        ("sockets", fine.replace("1024", "\"many\"")),
-        ("missing", fine.replace("\"tickMs\": 5.0,", "")),
-        ("choice", fine.replace("\"reject\"", "\"maybe\"")),
-        ("length", fine.replace("\"loose\", ", "")),
-        ("span", fine.replace("\"coldMs\": 9000.0", "\"coldMs\": -1")),
-        ("me", fine.replace("\"me\": 0", "\"me\": 4")),
+        ("listen", valid.replace("127.0.0.1:6432", "here")),
+        ("seed", valid.replace("8c1f30d27a5be964", "lucky")),
+        ("sockets", valid.replace("1024", "\"many\"")),
+        ("missing", valid.replace("\"tickMs\": 5.0,", "")),
+        ("choice", valid.replace("\"reject\"", "\"maybe\"")),
+        ("length", valid.replace("\"loose\", ", "")),
+        (
+            "span",
+            valid.replace("\"coldMs\": 9000.0", "\"coldMs\": -1"),
+        ),
+        ("me", valid.replace("\"me\": 0", "\"me\": 4")),
     ];
     let mut trace = String::new();
     let run = |command: &mut Command| {
         let out = leverpoint_test_support::gateway::output(command.env_remove("NODE_CONFIG"));
-        let said = String::from_utf8_lossy(&out.stdout).into_owned()
+        let output = String::from_utf8_lossy(&out.stdout).into_owned()
             + &String::from_utf8_lossy(&out.stderr);
-        format!("{}: {said}", out.status.code().unwrap())
+        format!("{}: {output}", out.status.code().unwrap())
     };
     let leverpoint = || Command::new(env!("CARGO_BIN_EXE_leverpoint"));
     let file = std::env::temp_dir().join(format!("leverpoint-{}-check.json", std::process::id()));
--- a/crates/gateway/tests/stored_data.rs
+++ b/crates/gateway/tests/stored_data.rs
@@ -1,8 +1,8 @@
 //! Data directories that the released program has written are read by this one, whatever the types are called here.
 //!
 //! `stored/sessions`: five sessions wrote, the process was killed and restarted, five sessions wrote, and it was killed
-//! again; the last record of the log lacks its last bytes. `stored/member`: the data of the same process as a fleet member
-//! and as a replica holder.
+//! again; the last record of the log lacks its last bytes. `stored/member`: the data of the same process as a fleet
+//! member and as a replica holder.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -1,5 +1,5 @@
-//! The engine's tables under a long run of requests that each carry a new id, in tokio's paused time, which advances only
-//! when all tasks are idle.
+//! The engine's tables under a long run of requests that each carry a new id, in tokio's paused time, which advances
+//! only when all tasks are idle.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
