--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -235,7 +235,7 @@
             (0, 0)
         );
     }
-    // A process with only the old key is rejected by all others, and declared dead.
+    // A process with only the old key is rejected by all others and declared dead, and declares them dead in turn.
     fleet.keys[4] = FLEET_KEY.into();
     fleet.kill(4);
     fleet.start(4);
--- a/crates/gateway/tests/sessions.rs
+++ b/crates/gateway/tests/sessions.rs
@@ -131,8 +131,8 @@
         log.contains("\"many\"=1") || log.contains("many=1") || log.contains("many=\"1\""),
         "{log}"
     );
-    // A session that has written gets at least its write, from the primary; one that has not written may read from a
-    // replica.
+    // A session that has written requires exactly the position of its write, so the primary answers; one that has not
+    // written requires none, so a replica answers.
     assert!(
         second
             .connect_client()
