--- a/crates/gateway/tests/tables.rs
+++ b/crates/gateway/tests/tables.rs
@@ -88,7 +88,7 @@
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
         let parsed_settings = settings::parse(7, SETTINGS.as_bytes()).unwrap();
-        let counters = Rc::new(metrics::Metrics::new(&parsed_settings.classes));
+        let counters = Rc::new(metrics::Metrics::new(&parsed_settings.class_names));
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let engine = Engine::new(parsed_settings, counters, None, log.clone());
         let connection = ClientConnections::new(limits(), 2, 1, 7, log).register(WeakStream::None);
