--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,9 +7,9 @@
 use leverpoint_backpressure::Limits;
 use leverpoint_backpressure::limits::ProcessResources;
 use leverpoint_config::ConfigError;
-use leverpoint_config::copies::ReplicationSettings;
 use leverpoint_config::node::NodeConfig;
 use leverpoint_config::operator::OperatorConfig;
+use leverpoint_config::replication::ReplicationSettings;
 use leverpoint_config::settings::ticks_to_duration;
 use leverpoint_engine::UNRESERVED_BYTES;
 use leverpoint_engine::client_connections::ClientConnections;
@@ -76,7 +76,7 @@
 ) -> Result<Limits, ConfigError> {
     let resources = ProcessResources {
         memory: node.limits.memory_bytes,
-        descriptors: node.limits.sockets,
+        descriptors: node.limits.descriptors,
         unreserved_per_connection: 2 * UNRESERVED_BYTES,
         max_message: MAX_MESSAGE,
         connect_timeout: node.settings.connect_timeout,
@@ -132,11 +132,11 @@
     ) -> Self {
         let node_settings = &node.settings;
         let routing = &node_settings.routing;
-        let metrics = Rc::new(Metrics::new(&node_settings.classes));
+        let metrics = Rc::new(Metrics::new(&node_settings.class_names));
         let (classes, tenants) = (routing.classes.len(), routing.tenants.len());
         let client_connections =
             ClientConnections::new(limits, classes, tenants, routing.seed, log.clone());
-        let sockets = node.limits.sockets - member_descriptors;
+        let sockets = node.limits.descriptors - member_descriptors;
         let eviction = ConnectionEviction::new(sockets, client_connections.clone());
         let descriptors = DescriptorBudget::new(sockets, eviction.clone());
         let servers = ServerPool::new(
@@ -144,7 +144,7 @@
             client_connections.clone(),
             metrics.clone(),
             node_settings.connect_timeout,
-            node_settings.idle_close,
+            node_settings.server_idle_timeout,
         );
         ConnectionResources {
             metrics,
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -10,7 +10,7 @@
 use std::thread;
 
 use leverpoint_config::ConfigError;
-use leverpoint_config::members::MembershipSettings;
+use leverpoint_config::membership::MembershipSettings;
 use leverpoint_config::node::NodeConfig;
 use leverpoint_config::operator::OperatorConfig;
 use leverpoint_membership::MembershipEvent;
@@ -50,10 +50,10 @@
     let routing = &node.settings.routing;
     let zone = node
         .settings
-        .zones
+        .zone_names
         .get(routing.zone)
         .map_or("", String::as_str);
-    operator.membership(&node.name, zone, node.limits.sockets)
+    operator.membership(&node.name, zone, node.limits.descriptors)
 }
 
 /// Returns what connections between members authenticate each other with: the fleet's name, keys and address overrides.
