--- a/crates/simulator/src/agents.rs
+++ b/crates/simulator/src/agents.rs
@@ -56,7 +56,7 @@
             let wanted = entry.phase == Phase::Up;
             self.checker
                 .borrow_mut()
-                .told(self.now(), n, entry.server, wanted);
+                .on_phase_announced(self.now(), n, entry.server, wanted);
         }
     }
 
--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -12,43 +12,43 @@
 const SLACK: Ticks = 500;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effects {
-    Replayable,
-    Keyed,
-    Mutating,
+pub enum Idempotency {
+    Idempotent,
+    IdempotentByKey,
+    NonIdempotent,
 }
 
 /// What a dispatch has come to, as its machine knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ExecutionStatus {
     /// It runs or waits to, or has run.
-    MayHave,
-    Never,
+    MayHaveExecuted,
+    NeverExecuted,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Final {
+pub enum FinalResponse {
     Answered,
     Throttled,
     Failed,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub at: Ticks,
     pub rule: u8,
-    pub what: String,
+    pub description: String,
 }
 
 #[derive(Clone, Debug)]
 struct Command {
-    effects: Effects,
+    effects: Idempotency,
     gateway: usize,
     ends: Ticks,
     length: usize,
-    last: Option<Final>,
+    last: Option<FinalResponse>,
     /// Machine, when it came, what it came to.
-    dispatches: Vec<(usize, Ticks, Outcome)>,
+    dispatches: Vec<(usize, Ticks, ExecutionStatus)>,
     effects_had: u32,
     /// What a read must see.
     owed: Option<Ticks>,
@@ -68,7 +68,7 @@
     barred: BTreeMap<(usize, usize), Ticks>,
     /// Gateways that are not answerable just now: killed, or cut off.
     excused: BTreeSet<usize>,
-    pub broken: Option<Broken>,
+    pub violation: Option<Violation>,
     pub taken: u64,
     pub dispatched: u64,
 }
@@ -83,24 +83,28 @@
             due: BTreeSet::new(),
             barred: BTreeMap::new(),
             excused: BTreeSet::new(),
-            broken: None,
+            violation: None,
             taken: 0,
             dispatched: 0,
         }
     }
 
-    pub fn breaks(&mut self, at: Ticks, rule: u8, what: String) {
-        self.broken.get_or_insert(Broken { at, rule, what });
+    pub fn report_violation(&mut self, at: Ticks, rule: u8, description: String) {
+        self.violation.get_or_insert(Violation {
+            at,
+            rule,
+            description,
+        });
     }
 
     /// A client has written a command's last byte.
     #[allow(clippy::too_many_arguments)]
-    pub fn sent(
+    pub fn on_request_sent(
         &mut self,
         now: Ticks,
         id: &str,
         gateway: usize,
-        effects: Effects,
+        effects: Idempotency,
         ends: Ticks,
         length: usize,
         owed: Option<Ticks>,
@@ -121,24 +125,24 @@
             newest: 0,
         };
         if self.commands.insert(id.to_owned(), command).is_some() {
-            self.breaks(now, 1, format!("{id} was sent twice under one id"));
+            self.report_violation(now, 1, format!("{id} was sent twice under one id"));
         }
     }
 
     /// Where sessions are followed: what a read's session has been told it wrote, through any gateway.
-    pub fn follows(&mut self, id: &str, history: Option<Ticks>) {
+    pub fn set_session_write_position(&mut self, id: &str, history: Option<Ticks>) {
         if let Some(command) = self.commands.get_mut(id) {
             command.history = history;
         }
     }
 
     /// What a command's read must see, for the machine's own check.
-    pub fn owed(&self, id: &str) -> Option<Ticks> {
+    pub fn required_position(&self, id: &str) -> Option<Ticks> {
         self.commands.get(id)?.owed
     }
 
     /// A final answer has come; the value where it is a row.
-    pub fn answered(&mut self, now: Ticks, id: &str, how: Final, value: &[u8]) {
+    pub fn on_response(&mut self, now: Ticks, id: &str, how: FinalResponse, value: &[u8]) {
         let Some(command) = self.commands.get_mut(id) else {
             return;
         };
@@ -148,39 +152,40 @@
         let ran = command
             .dispatches
             .iter()
-            .any(|(.., outcome)| *outcome == Outcome::MayHave);
-        let throttled = how == Final::Throttled && command.effects == Effects::Mutating && ran;
-        let wrong = how == Final::Answered && value != expected_value(id, command.length);
-        let unmade = how == Final::Answered && !ran;
+            .any(|(.., outcome)| *outcome == ExecutionStatus::MayHaveExecuted);
+        let throttled =
+            how == FinalResponse::Throttled && command.effects == Idempotency::NonIdempotent && ran;
+        let wrong = how == FinalResponse::Answered && value != expected_value(id, command.length);
+        let unmade = how == FinalResponse::Answered && !ran;
         let missing = command
             .history
-            .filter(|wrote| how == Final::Answered && command.newest < *wrote);
+            .filter(|wrote| how == FinalResponse::Answered && command.newest < *wrote);
         let missing = missing.map(|wrote| wrote - command.newest);
         if again {
-            self.breaks(now, 1, format!("{id} was answered twice"));
+            self.report_violation(now, 1, format!("{id} was answered twice"));
         }
         if wrong || unmade {
-            self.breaks(
+            self.report_violation(
                 now,
                 1,
                 format!("{id} was answered with what was not made for it"),
             );
         }
         if let Some(by) = missing {
-            self.breaks(
+            self.report_violation(
                 now,
                 5,
                 format!("{id} lacks its session's write by {} ms", by / 10),
             );
         }
         if throttled {
-            self.breaks(now, 2, format!("{id} may have run and was throttled"));
+            self.report_violation(now, 2, format!("{id} may have run and was throttled"));
         }
     }
 
     /// Bytes have come that belong to no command.
-    pub fn unasked(&mut self, now: Ticks, gateway: usize) {
-        self.breaks(
+    pub fn on_unsolicited_bytes(&mut self, now: Ticks, gateway: usize) {
+        self.report_violation(
             now,
             1,
             format!("gateway {gateway} said something nobody had asked"),
@@ -189,7 +194,7 @@
 
     /// The connection ended before the answer was whole; whether that is the gateway's doing and within the
     /// command's time is judged here. `begun`: some of the answer had come.
-    pub fn cut(&mut self, now: Ticks, id: &str, begun: bool) {
+    pub fn on_connection_lost(&mut self, now: Ticks, id: &str, begun: bool) {
         let Some(command) = self.commands.get_mut(id) else {
             return;
         };
@@ -197,7 +202,7 @@
             .remove(&(command.ends + SLACK + 2 * self.latency, id.to_owned()));
         let lost = begun && now < command.ends && !self.excused.contains(&command.gateway);
         if lost {
-            self.breaks(
+            self.report_violation(
                 now,
                 1,
                 format!("{id} was cut off in the middle of its answer"),
@@ -206,14 +211,14 @@
     }
 
     /// Its client has gone, or its gateway is not answerable any more.
-    pub fn released(&mut self, id: &str) {
+    pub fn on_request_abandoned(&mut self, id: &str) {
         if let Some(command) = self.commands.get(id) {
             self.due
                 .remove(&(command.ends + SLACK + 2 * self.latency, id.to_owned()));
         }
     }
 
-    pub fn excuse(&mut self, gateway: usize, excused: bool) {
+    pub fn set_gateway_exempt(&mut self, gateway: usize, excused: bool) {
         if excused {
             self.excused.insert(gateway);
             let commands = &self.commands;
@@ -225,7 +230,7 @@
     }
 
     /// A gateway has been told of a machine's phase.
-    pub fn told(&mut self, now: Ticks, gateway: usize, machine: usize, wanted: bool) {
+    pub fn on_phase_announced(&mut self, now: Ticks, gateway: usize, machine: usize, wanted: bool) {
         if wanted {
             self.barred.remove(&(gateway, machine));
         } else {
@@ -234,7 +239,7 @@
     }
 
     /// A statement has come whole to a machine, over a connection of that gateway.
-    pub fn came(&mut self, now: Ticks, id: &str, gateway: usize, machine: usize) {
+    pub fn on_dispatch(&mut self, now: Ticks, id: &str, gateway: usize, machine: usize) {
         self.dispatched += 1;
         if let Some(since) = self.barred.get(&(gateway, machine))
             && now - self.latency * 2 > since + self.grace + SLACK
@@ -243,46 +248,48 @@
                 "{id} went to machine {machine} {} ms after its drain was told",
                 (now - since) / 10
             );
-            self.breaks(now, 3, what);
+            self.report_violation(now, 3, what);
         }
         let window = self.window + SLACK;
         let Some(command) = self.commands.get_mut(id) else {
-            return self.breaks(now, 1, format!("{id} was sent by nobody"));
+            return self.report_violation(now, 1, format!("{id} was sent by nobody"));
         };
         let ran = command
             .dispatches
             .iter()
-            .filter(|(.., outcome)| *outcome == Outcome::MayHave);
+            .filter(|(.., outcome)| *outcome == ExecutionStatus::MayHaveExecuted);
         let earliest = ran.map(|(_, at, _)| *at).min();
-        let throttled =
-            command.last == Some(Final::Throttled) && command.effects == Effects::Mutating;
-        command.dispatches.push((machine, now, Outcome::MayHave));
+        let throttled = command.last == Some(FinalResponse::Throttled)
+            && command.effects == Idempotency::NonIdempotent;
+        command
+            .dispatches
+            .push((machine, now, ExecutionStatus::MayHaveExecuted));
         let late = earliest.is_some_and(|at| now - at > window);
         match command.effects {
-            Effects::Mutating if earliest.is_some() => {
-                self.breaks(now, 2, format!("{id} may have run and was sent again"));
+            Idempotency::NonIdempotent if earliest.is_some() => {
+                self.report_violation(now, 2, format!("{id} may have run and was sent again"));
             }
-            Effects::Keyed if late => {
-                self.breaks(
+            Idempotency::IdempotentByKey if late => {
+                self.report_violation(
                     now,
                     2,
                     format!("{id} was sent again after its key's window"),
                 );
             }
             _ if throttled => {
-                self.breaks(now, 2, format!("{id} was throttled and came to a machine"));
+                self.report_violation(now, 2, format!("{id} was throttled and came to a machine"));
             }
             _ => {}
         }
     }
 
     /// What the last dispatch of it to a machine has come to.
-    pub fn came_to(
+    pub fn on_execution_finished(
         &mut self,
         now: Ticks,
         id: &str,
         machine: usize,
-        outcome: Outcome,
+        outcome: ExecutionStatus,
         effect: bool,
     ) {
         let Some(command) = self.commands.get_mut(id) else {
@@ -297,19 +304,19 @@
             last.2 = outcome;
         }
         command.effects_had += u32::from(effect);
-        if command.effects_had > 1 && command.effects != Effects::Replayable {
-            self.breaks(now, 2, format!("{id} had its effect twice"));
+        if command.effects_had > 1 && command.effects != Idempotency::Idempotent {
+            self.report_violation(now, 2, format!("{id} had its effect twice"));
         }
     }
 
     /// A row is made from data of that age for a command that may owe more.
-    pub fn read(&mut self, now: Ticks, id: &str, position: Ticks, excused: bool) {
+    pub fn on_read(&mut self, now: Ticks, id: &str, position: Ticks, excused: bool) {
         if let Some(command) = self.commands.get_mut(id) {
             command.newest = command.newest.max(position);
         }
         let owed = self.commands.get(id).and_then(|c| c.owed);
         if let Some(owed) = owed.filter(|owed| position < *owed && !excused) {
-            self.breaks(
+            self.report_violation(
                 now,
                 5,
                 format!(
@@ -320,8 +327,8 @@
         }
     }
 
-    pub fn fell(&mut self, now: Ticks, machine: usize) {
-        self.breaks(
+    pub fn on_cold_crash(&mut self, now: Ticks, machine: usize) {
+        self.report_violation(
             now,
             4,
             format!("machine {machine} was pushed over while it was cold"),
@@ -329,17 +336,17 @@
     }
 
     /// After each step: whether an answer is overdue.
-    pub fn step(&mut self, now: Ticks) {
+    pub fn check_deadlines(&mut self, now: Ticks) {
         while let Some((at, _)) = self.due.first().filter(|(at, _)| *at < now) {
             let at = *at;
             let Some((_, id)) = self.due.pop_first() else {
                 return;
             };
-            self.breaks(at, 1, format!("{id} has no final answer"));
+            self.report_violation(at, 1, format!("{id} has no final answer"));
         }
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.due.len()
     }
 }
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -12,11 +12,11 @@
 use leverpoint_test_support::values::expected_value;
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, put_message, query_message};
 
-use crate::checker::{Effects, Final};
+use crate::checker::{FinalResponse, Idempotency};
 use crate::course::{Facts, LATENCY, Play, address, facts};
 use crate::script::{Ask, Group};
+use crate::simulation::EventSource;
 use crate::talk::Talk;
-use crate::world::EventSource;
 
 impl Play {
     /// One client: its commands in their order, each on the connection it has.
@@ -25,18 +25,18 @@
         let mut talk: Option<(Talk, u64)> = None;
         let at_a_time = if slow { 64 } else { usize::MAX };
         for ask in asks {
-            sleep_until(self.sim.instant(ask.at)).await;
+            sleep_until(self.sim.instant_at(ask.at)).await;
             let facts = facts(ask.group);
             self.asked.set(self.asked.get() + facts.benefit);
             let ends = self.now() + facts.timeout;
             let began = self.now();
             let key = format!("k{n}x{}", ask.at);
-            let hangs_up = ask.hangs_up.map(|after| self.sim.instant(began + after));
+            let hangs_up = ask.hangs_up.map(|after| self.sim.instant_at(began + after));
             let mut repeats = 0;
             while self.now() < ends {
-                if repeats == 0 && self.sim.chance.borrow_mut().f64() < self.scenario.roams {
+                if repeats == 0 && self.sim.rng.borrow_mut().f64() < self.scenario.roams {
                     talk = None;
-                    gateway = self.sim.chance.borrow_mut().usize(..self.scenario.gateways);
+                    gateway = self.sim.rng.borrow_mut().usize(..self.scenario.gateways);
                 }
                 // A front learns late that a gateway has died, and tries the next.
                 if talk.is_none() {
@@ -54,7 +54,9 @@
                     continue;
                 };
                 if line.begun() {
-                    self.checker.borrow_mut().unasked(self.now(), gateway);
+                    self.checker
+                        .borrow_mut()
+                        .on_unsolicited_bytes(self.now(), gateway);
                 }
                 let id = format!(
                     "c{n}-{gateway}-{}",
@@ -77,7 +79,7 @@
                     continue;
                 }
                 let sent = self.now();
-                self.checker.borrow_mut().sent(
+                self.checker.borrow_mut().on_request_sent(
                     sent,
                     &id,
                     gateway,
@@ -88,10 +90,12 @@
                 );
                 if self.scenario.sessions && ask.group == Group::Own {
                     let history = self.tokens.borrow().get(&n).map(|(at, ..)| *at);
-                    self.checker.borrow_mut().follows(&id, history);
+                    self.checker
+                        .borrow_mut()
+                        .set_session_write_position(&id, history);
                 }
                 let waits = sent + 2 * LATENCY.1 + 1_000 + ends - sent;
-                let until = hangs_up.unwrap_or(self.sim.instant(waits));
+                let until = hangs_up.unwrap_or(self.sim.instant_at(waits));
                 let mut heard = Vec::new();
                 let answer = timeout_at(until, hear(line, &mut heard, at_a_time)).await;
                 let whole = match answer {
@@ -100,7 +104,7 @@
                     Ok(Err(_)) => heard.first() == Some(&b'E') && !line.begun(),
                     Err(_) => {
                         // Its client goes.
-                        self.checker.borrow_mut().released(&id);
+                        self.checker.borrow_mut().on_request_abandoned(&id);
                         talk = None;
                         break;
                     }
@@ -108,11 +112,13 @@
                 let ready = matches!(answer, Ok(Ok(())));
                 if !whole {
                     let begun = !heard.is_empty() || line.begun();
-                    self.checker.borrow_mut().cut(self.now(), &id, begun);
+                    self.checker
+                        .borrow_mut()
+                        .on_connection_lost(self.now(), &id, begun);
                     talk = None;
                     gateway = (gateway + 1) % self.scenario.gateways;
                     repeats += 1;
-                    if facts.effects == Effects::Mutating {
+                    if facts.effects == Idempotency::NonIdempotent {
                         // It may have run: whoever sent it does not know.
                         break;
                     }
@@ -122,16 +128,16 @@
                 let value = value_of(&heard);
                 let verdict = classify_response(&heard, &expected_value(&id, length));
                 let how = match verdict {
-                    ResponseOutcome::Answered | ResponseOutcome::Wrong => Final::Answered,
-                    ResponseOutcome::Throttled(_) => Final::Throttled,
-                    ResponseOutcome::Failed => Final::Failed,
+                    ResponseOutcome::Answered | ResponseOutcome::Wrong => FinalResponse::Answered,
+                    ResponseOutcome::Throttled(_) => FinalResponse::Throttled,
+                    ResponseOutcome::Failed => FinalResponse::Failed,
                 };
                 self.sim.record(EventSource::Client, (n, how, &id), || {
                     format!("{n} hears {how:?} to {id}")
                 });
                 self.checker
                     .borrow_mut()
-                    .answered(self.now(), &id, how, &value);
+                    .on_response(self.now(), &id, how, &value);
                 if !ready {
                     talk = None;
                 }
@@ -158,7 +164,7 @@
                         repeats += 1;
                         sleep(Duration::from_millis(ms.max(50))).await;
                     }
-                    ResponseOutcome::Failed if facts.effects == Effects::Mutating => break,
+                    ResponseOutcome::Failed if facts.effects == Idempotency::NonIdempotent => break,
                     ResponseOutcome::Failed => {
                         repeats += 1;
                         sleep(Duration::from_millis(100)).await;
@@ -207,7 +213,7 @@
             && let Some(token) = self.carried.borrow().get(&client)
         {
             // One in three carries its token, one in twelve a forged one; the others none.
-            match self.sim.chance.borrow_mut().u8(..12) {
+            match self.sim.rng.borrow_mut().u8(..12) {
                 0..=3 => comment += &format!(",after={token}"),
                 4 => comment += &format!(",after={}x{}", &token[..16], &token[17..]),
                 _ => {}
@@ -232,7 +238,7 @@
     }
 
     pub(crate) async fn connect(&self, gateway: usize, ends: Ticks) -> Option<Talk> {
-        let until = self.sim.instant(ends.min(self.now() + 10_000));
+        let until = self.sim.instant_at(ends.min(self.now() + 10_000));
         let stream = timeout_at(until, Stream::connect(address(0, gateway), None))
             .await
             .ok()?
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -4,16 +4,16 @@
 
 use std::collections::BTreeMap;
 
-use crate::outcome::Played;
+use crate::outcome::RunOutcome;
 
 const HEAD: &str = "seed,benefit,asked,commands,digest";
 
 /// A line a seed: its number, the benefit kept, the benefit asked for, the commands sent, its trace's digest.
-pub fn text(played: &[(u64, Played)]) -> String {
-    let line = |(seed, p): &(u64, Played)| {
+pub fn text(played: &[(u64, RunOutcome)]) -> String {
+    let line = |(seed, p): &(u64, RunOutcome)| {
         format!(
             "{seed},{},{},{},{:016x}\n",
-            p.benefit, p.asked, p.commands, p.digest
+            p.benefit, p.possible_benefit, p.requests, p.digest
         )
     };
     format!("{HEAD}\n{}", played.iter().map(line).collect::<String>())
--- a/crates/simulator/src/copies.rs
+++ b/crates/simulator/src/copies.rs
@@ -22,7 +22,7 @@
 use serde::Deserialize;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::world::{EventSource, Sim, UNIX};
+use crate::simulation::{EventSource, START_UNIX_TIME, Simulation};
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -88,13 +88,13 @@
     }
 }
 
-async fn keep(sim: Rc<Sim>, shelf: Shelf, mut line: mpsc::UnboundedReceiver<Batch>) {
+async fn keep(sim: Rc<Simulation>, shelf: Shelf, mut line: mpsc::UnboundedReceiver<Batch>) {
     while let Some(first) = line.recv().await {
         let mut all = vec![first];
         while let Ok(more) = line.try_recv() {
             all.push(more);
         }
-        let takes = sim.chance.borrow_mut().u64(1..30);
+        let takes = sim.rng.borrow_mut().u64(1..30);
         sleep(Duration::from_micros(takes * 100)).await;
         let mut thens = Vec::new();
         for (records, meta, then) in all {
@@ -124,7 +124,7 @@
 
 /// What truly happened.
 pub struct Truth {
-    sim: Rc<Sim>,
+    sim: Rc<Simulation>,
     /// The highest position that was answered to a session.
     wrote: RefCell<BTreeMap<u64, Ticks>>,
     keys: RefCell<BTreeMap<u64, Key>>,
@@ -134,7 +134,7 @@
 }
 
 impl Truth {
-    pub fn new(sim: &Rc<Sim>) -> Truth {
+    pub fn new(sim: &Rc<Simulation>) -> Truth {
         Truth {
             sim: sim.clone(),
             wrote: RefCell::default(),
@@ -146,7 +146,7 @@
     }
 
     fn now(&self) -> Ticks {
-        (UNIX.as_micros() / 100) as Ticks + self.sim.time()
+        (START_UNIX_TIME.as_micros() / 100) as Ticks + self.sim.time()
     }
 
     /// Acts that came to an exact read or a promise, and all of them.
@@ -181,7 +181,7 @@
         if dropped {
             return;
         }
-        self.sim.record(EventSource::Set, (key, who), || {
+        self.sim.record(EventSource::ReplicaSet, (key, who), || {
             format!("key {key} runs, from {who}")
         });
         held.ran.push((set, now));
@@ -215,7 +215,7 @@
 
 /// Starts a member's copies and the clients that come to it.
 pub fn start(
-    sim: &Rc<Sim>,
+    sim: &Rc<Simulation>,
     p: usize,
     node: &Rc<MemberRuntime>,
     load: &Load,
@@ -242,7 +242,7 @@
 }
 
 async fn clients(p: usize, copies: Rc<ReplicationRuntime>, load: Load, truth: Rc<Truth>) {
-    let mut chance = Rng::with_seed(truth.sim.chance.borrow_mut().u64(..));
+    let mut chance = Rng::with_seed(truth.sim.rng.borrow_mut().u64(..));
     loop {
         let pause = -load.every_ms * (1.0 - chance.f64()).ln();
         sleep(Duration::from_micros((pause * 10.0) as u64 * 100)).await;
@@ -389,7 +389,7 @@
         return copies.on_write_finished(ticket, WriteOutcome::PossiblyExecuted(copies.now() + 10));
     }
     truth.sim.record(
-        EventSource::ClientAnswer,
+        EventSource::ClientResponse,
         (p, position, session, ticket),
         || format!("at {p} is answered {position} to {session}, ticket {ticket}"),
     );
--- a/crates/simulator/src/course.rs
+++ b/crates/simulator/src/course.rs
@@ -17,9 +17,9 @@
 use leverpoint_runtime::Listener;
 use tokio::sync::Notify;
 
-use crate::checker::{Checker, Effects};
+use crate::checker::{Checker, Idempotency};
 use crate::script::{Group, Scenario};
-use crate::world::{EventSource, Process, Role, Sim, UNIX};
+use crate::simulation::{EventSource, ProcessId, Role, START_UNIX_TIME, Simulation};
 
 /// A keyed repeat is dropped for so long.
 pub(crate) const WINDOW: Ticks = 20_000;
@@ -64,7 +64,7 @@
 
 pub(crate) struct Facts {
     pub(crate) name: &'static str,
-    pub(crate) effects: Effects,
+    pub(crate) effects: Idempotency,
     pub(crate) timeout: Ticks,
     pub(crate) target: Ticks,
     pub(crate) benefit: f64,
@@ -85,7 +85,7 @@
     match group {
         Group::Board => of(
             "board",
-            Effects::Replayable,
+            Idempotency::Idempotent,
             20_000,
             6_000,
             1.0,
@@ -94,7 +94,7 @@
         ),
         Group::Own => of(
             "own",
-            Effects::Replayable,
+            Idempotency::Idempotent,
             15_000,
             4_000,
             2.0,
@@ -103,17 +103,25 @@
         ),
         Group::History => of(
             "history",
-            Effects::Replayable,
+            Idempotency::Idempotent,
             12_000,
             5_000,
             1.0,
             0.0,
             (100, 300),
         ),
-        Group::Report => of("report", Effects::Keyed, 20_000, 3_000, 3.0, 0.3, (50, 150)),
+        Group::Report => of(
+            "report",
+            Idempotency::IdempotentByKey,
+            20_000,
+            3_000,
+            3.0,
+            0.3,
+            (50, 150),
+        ),
         Group::Order => of(
             "order",
-            Effects::Mutating,
+            Idempotency::NonIdempotent,
             20_000,
             4_000,
             3.0,
@@ -140,7 +148,7 @@
 }
 
 pub(crate) struct Play {
-    pub(crate) sim: Rc<Sim>,
+    pub(crate) sim: Rc<Simulation>,
     pub(crate) scenario: Scenario,
     pub(crate) seed: u64,
     pub(crate) checker: RefCell<Checker>,
@@ -160,7 +168,7 @@
 pub(crate) const STARTS: Duration = Duration::from_millis(300);
 /// An agent's address that is named no more closes what is open after so long.
 pub(crate) const CLOSES: Duration = Duration::from_millis(1_500);
-pub(crate) const CLIENTS: Process = 0;
+pub(crate) const CLIENTS: ProcessId = 0;
 /// A run in which clients still ask after that has gone wrong.
 pub(crate) const LONGEST: Ticks = 600_000;
 /// Longer than any client timeout, so that all that was begun for clients has ended.
@@ -176,15 +184,15 @@
 }
 
 impl Play {
-    pub(crate) fn gateway_process(&self, n: usize) -> Process {
+    pub(crate) fn gateway_process(&self, n: usize) -> ProcessId {
         1 + n
     }
 
-    pub(crate) fn agent_process(&self, n: usize) -> Process {
+    pub(crate) fn agent_process(&self, n: usize) -> ProcessId {
         1 + self.scenario.gateways + n
     }
 
-    pub(crate) fn machine_process(&self, n: usize) -> Process {
+    pub(crate) fn machine_process(&self, n: usize) -> ProcessId {
         1 + 2 * self.scenario.gateways + n
     }
 
@@ -202,7 +210,7 @@
     }
 
     pub(crate) fn publish_role(&self, now: Ticks, machine: usize, phase: Phase) {
-        let late = self.sim.chance.borrow_mut().i64(500..5_000);
+        let late = self.sim.rng.borrow_mut().i64(500..5_000);
         self.publish(now + late, machine, phase);
     }
 
@@ -219,9 +227,9 @@
 
     pub(crate) fn start_gateway(self: &Rc<Self>, n: usize) {
         let process = self.gateway_process(n);
-        self.sim.begin(process, Role::Gateway);
+        self.sim.start_process(process, Role::Gateway);
         self.lives.borrow_mut()[n] += 1;
-        self.checker.borrow_mut().excuse(n, false);
+        self.checker.borrow_mut().set_gateway_exempt(n, false);
         let door = self.sim.listen(process, address(0, n));
         let node = self.node(n, self.place.agent_moved.borrow()[n]);
         let play = self.clone();
@@ -288,7 +296,7 @@
                     Phase::Removed => "removed",
                 };
                 let mode = if e.is_primary { "read-write" } else { "read-only" };
-                let boot = if e.started_at > 0 { UNIX.as_millis() as i64 + e.started_at / 10 } else { 0 };
+                let boot = if e.started_at > 0 { START_UNIX_TIME.as_millis() as i64 + e.started_at / 10 } else { 0 };
                 format!(
                     r#"{{"uid":"m{}","endpoint":"{}","az":"{}","pod_group":{},"state":"{state}","mode":"{mode}","boot_ms":{boot}}}"#,
                     e.server,
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -23,10 +23,10 @@
 use leverpoint_signing::{Key, Keys};
 use serde::Deserialize;
 
-use crate::checker::Broken;
+use crate::checker::Violation;
 use crate::copies::{self, Load, Shelf, Truth};
-use crate::outcome::Played;
-use crate::world::{EventSource, Process, Role, Sim, Way};
+use crate::outcome::RunOutcome;
+use crate::simulation::{EventSource, LinkFaults, ProcessId, Role, Simulation};
 
 /// A member died, or was called gone, or came back: rules of a fleet, counted on from those of commands.
 pub const FORK: u8 = 6;
@@ -245,12 +245,12 @@
 /// A disk that takes a moment; what was not done when its process ends is lost.
 struct Slow {
     disk: Disk,
-    sim: Rc<Sim>,
+    sim: Rc<Simulation>,
 }
 
 impl StateStore for Slow {
     fn persist(&self, value: Vec<u8>, then: Box<dyn FnOnce(bool)>) {
-        let (disk, takes) = (self.disk.clone(), self.sim.chance.borrow_mut().u64(1..6));
+        let (disk, takes) = (self.disk.clone(), self.sim.rng.borrow_mut().u64(1..6));
         spawn(async move {
             sleep(Duration::from_millis(takes)).await;
             *disk.borrow_mut() = Some(value);
@@ -261,7 +261,7 @@
 
 struct Place {
     name: String,
-    process: Process,
+    process: ProcessId,
     node: Rc<RefCell<Option<Rc<MemberRuntime>>>>,
     disk: Disk,
     shelf: Shelf,
@@ -277,7 +277,7 @@
 }
 
 struct Run {
-    sim: Rc<Sim>,
+    sim: Rc<Simulation>,
     scenario: Scenario,
     members: usize,
     places: Vec<Place>,
@@ -289,7 +289,7 @@
     wrong: BTreeMap<(usize, String), Ticks>,
     layouts: BTreeMap<u64, u64>,
     truth: Rc<Truth>,
-    broken: Option<Broken>,
+    broken: Option<Violation>,
 }
 
 fn address(p: usize) -> SocketAddr {
@@ -315,7 +315,7 @@
         let process = place.process;
         (place.runs, place.stopped, place.woke) = (true, false, None);
         (place.voted, place.believed) = ((0, 0, false), BTreeMap::new());
-        self.sim.begin(process, Role::Gateway);
+        self.sim.start_process(process, Role::Gateway);
         let door = self.sim.listen(process, address(p));
         let (sim, node, disk, name) = (
             self.sim.clone(),
@@ -342,7 +342,7 @@
             let life = unix_time().as_millis() as u64;
             let fresh = before.incarnation.storage_id == 0;
             let memory = if fresh {
-                sim.chance.borrow_mut().u64(1..)
+                sim.rng.borrow_mut().u64(1..)
             } else {
                 before.incarnation.storage_id
             };
@@ -355,7 +355,7 @@
             };
             *disk.borrow_mut() = Some(encode_state(&kept));
             let (marks, says) = (sim.clone(), sim.clone());
-            let (seed, who) = (sim.chance.borrow_mut().u64(..), name.clone());
+            let (seed, who) = (sim.rng.borrow_mut().u64(..), name.clone());
             let keeper = Slow {
                 disk: disk.clone(),
                 sim: sim.clone(),
@@ -383,7 +383,7 @@
                     ..FleetConfig::default()
                 },
                 max_connections: LINES,
-                nonces: Box::new(move || marks.chance.borrow_mut().u64(..)),
+                nonces: Box::new(move || marks.rng.borrow_mut().u64(..)),
                 store: lasts.then(|| Box::new(keeper) as Box<dyn StateStore>),
                 on_event: Box::new(move |event| {
                     says.record(EventSource::Member, (&who, p, event), || {
@@ -447,13 +447,13 @@
         let (lose, double) = (self.scenario.lose, self.scenario.double);
         for (a, from) in self.places.iter().enumerate() {
             for (b, to) in self.places.iter().enumerate().filter(|(b, _)| *b != a) {
-                self.sim.set_way(
+                self.sim.set_link_faults(
                     from.process,
                     to.process,
-                    Way {
-                        cut: self.cut(a, b),
-                        lose,
-                        double,
+                    LinkFaults {
+                        blocked: self.cut(a, b),
+                        loss_rate: lose,
+                        duplication_rate: double,
                     },
                 );
             }
@@ -480,7 +480,7 @@
             Fault::Stops(p, on) => {
                 if self.places[*p].runs && self.places[*p].stopped != *on {
                     self.places[*p].stopped = *on;
-                    self.sim.set_stopped(self.places[*p].process, *on);
+                    self.sim.set_suspended(self.places[*p].process, *on);
                     let (now, found) = (self.sim.time(), self.found(*p));
                     let place = &mut self.places[*p];
                     let long = now - place.still > TERMS.pause_threshold() + TERMS.probe_interval;
@@ -525,7 +525,7 @@
                 self.sim
                     .record(EventSource::Operator, done, || format!("hears {said:?}"));
             }
-            Fault::Clock(p, off) => self.sim.set_clock_off(self.places[*p].process, *off),
+            Fault::Clock(p, off) => self.sim.set_clock_offset(self.places[*p].process, *off),
         }
     }
 
@@ -536,7 +536,11 @@
 
     fn breaks(&mut self, rule: u8, what: String) {
         let at = self.sim.time();
-        self.broken.get_or_insert(Broken { at, rule, what });
+        self.broken.get_or_insert(Violation {
+            at,
+            rule,
+            description: what,
+        });
     }
 
     /// What the truth has found.
@@ -752,8 +756,8 @@
     seed: u64,
     base: Instant,
     traced: bool,
-) -> Played {
-    let sim = Sim::new(seed, base, LATENCY, traced);
+) -> RunOutcome {
+    let sim = Simulation::new(seed, base, LATENCY, traced);
     set_simulated_runtime(Some(sim.clone()));
     let members = script.members;
     let place = |p: usize| Place {
@@ -788,14 +792,14 @@
         truth: Rc::new(Truth::new(&sim)),
         broken: None,
     };
-    sim.begin(0, Role::Client);
+    sim.start_process(0, Role::Client);
     run.ways();
     (0..members).for_each(|p| run.start(p));
     script
         .faults
         .iter()
         .enumerate()
-        .for_each(|(n, (at, _))| sim.fault_at(*at, n, None));
+        .for_each(|(n, (at, _))| sim.schedule_fault(*at, n, None));
     let last = script.faults.last().map_or(0, |(at, _)| *at);
     // Until all must have met, and then for the layout: one holder after the other. Copies are looked at all the time.
     let meets = run.bound() + TERMS.join_delay + TERMS.probe_interval * 3 * (members as Ticks + 8);
@@ -807,7 +811,7 @@
         };
     let (mut looked, looks) = (0, LOOKS * (members as Ticks).div_euclid(10).max(1));
     while sim.step(end) {
-        for fault in sim.faults() {
+        for fault in sim.take_due_faults() {
             run.fault(&script.faults[fault].1);
         }
         run.look_at_woken();
@@ -828,19 +832,19 @@
             .as_ref()
             .map_or(0, |node| node.connections.counters().sent)
     };
-    let played = Played {
-        broken: run.broken.clone(),
+    let played = RunOutcome {
+        violation: run.broken.clone(),
         steps: sim.steps.get(),
-        commands: run.places.iter().map(sent).sum(),
+        requests: run.places.iter().map(sent).sum(),
         benefit: run.truth.kept().0,
-        asked: run.truth.kept().1,
+        possible_benefit: run.truth.kept().1,
         digest: sim.digest.borrow().digest(),
-        trace: sim.trace(),
-        ..Played::default()
+        trace: sim.take_trace(),
+        ..RunOutcome::default()
     };
     (0..run.places.len())
         .map(|p| run.places[p].process)
-        .filter(|p| sim.alive(*p))
+        .filter(|p| sim.is_alive(*p))
         .for_each(|p| sim.kill(p));
     drop(run);
     set_simulated_runtime(None);
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -14,9 +14,9 @@
 pub mod outcome;
 #[cfg(feature = "plants")]
 pub mod plants;
-pub mod play;
+pub mod run;
 pub mod scene;
 pub mod script;
 pub mod shrink;
+pub mod simulation;
 mod talk;
-pub mod world;
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -10,11 +10,11 @@
 use leverpoint_runtime::{Listener, sleep};
 use leverpoint_test_support::replica_set::{comment_value, encode_response, encode_status};
 
-use crate::checker::Outcome;
+use crate::checker::ExecutionStatus;
 use crate::course::{Play, address, facts};
 use crate::script::Group;
+use crate::simulation::{EventSource, START_UNIX_TIME};
 use crate::talk::Talk;
-use crate::world::{EventSource, UNIX};
 
 impl Play {
     pub(crate) async fn machine(self: Rc<Self>, n: usize) {
@@ -48,9 +48,11 @@
                 .nth(1)
                 .and_then(|g| g.parse().ok())
                 .unwrap_or(0);
-            self.checker.borrow_mut().came(self.now(), &id, gateway, n);
+            self.checker
+                .borrow_mut()
+                .on_dispatch(self.now(), &id, gateway, n);
             self.sim
-                .record(EventSource::Machine, (n, &id), || format!("{n} hears {id}"));
+                .record(EventSource::Server, (n, &id), || format!("{n} hears {id}"));
             let wait: Ticks = comment_value(&text, "d")
                 .and_then(|d| d.parse::<i64>().ok())
                 .unwrap_or(0)
@@ -58,7 +60,7 @@
             let arrived = self.now();
             let place = self.place.sets.borrow_mut()[set].admit(arrived, member);
             if self.place.sets.borrow()[set].servers[member].crashed_by_overload {
-                self.checker.borrow_mut().fell(self.now(), n);
+                self.checker.borrow_mut().on_cold_crash(self.now(), n);
             }
             let (reply, position, effect) = match place {
                 Err(reply) => (reply, 0, false),
@@ -74,11 +76,15 @@
                     } else {
                         let group = comment_value(&text, "c").unwrap_or_default().to_owned();
                         let (least, most) = work(&group);
-                        let takes = self.sim.chance.borrow_mut().i64(least..=most);
+                        let takes = self.sim.rng.borrow_mut().i64(least..=most);
                         sleep(Duration::from_micros(takes as u64 * 100)).await;
                         let write = text.starts_with("INSERT");
                         let checks = self.scenario.check != "none";
-                        let owed = self.checker.borrow().owed(&id).filter(|_| checks);
+                        let owed = self
+                            .checker
+                            .borrow()
+                            .required_position(&id)
+                            .filter(|_| checks);
                         let ask = replica_set::Statement {
                             is_write: write,
                             idempotency_key: comment_value(&text, "k"),
@@ -90,15 +96,15 @@
             };
             let never = reply != Reply::Row;
             let outcome = if never {
-                Outcome::Never
+                ExecutionStatus::NeverExecuted
             } else {
-                Outcome::MayHave
+                ExecutionStatus::MayHaveExecuted
             };
             self.checker
                 .borrow_mut()
-                .came_to(self.now(), &id, n, outcome, effect);
+                .on_execution_finished(self.now(), &id, n, outcome, effect);
             self.sim
-                .record(EventSource::MachineAnswer, (n, &id, reply), || {
+                .record(EventSource::ServerResponse, (n, &id, reply), || {
                     format!("{n} answers {id}: {reply:?}")
                 });
             let primary = self.place.sets.borrow()[set].is_primary(member);
@@ -106,15 +112,15 @@
                 let excused = primary || self.place.was_primary.borrow().contains_key(&n);
                 self.checker
                     .borrow_mut()
-                    .read(self.now(), &id, position, excused);
+                    .on_read(self.now(), &id, position, excused);
             }
             let mut out = encode_response(reply, &text, &id);
-            if self.place.spoils.borrow()[n] && self.sim.chance.borrow_mut().u8(..2) == 0 {
+            if self.place.spoils.borrow()[n] && self.sim.rng.borrow_mut().u8(..2) == 0 {
                 // A flaw in the framing, as a value that is only another value can be told by nobody.
                 let described = 1 + u32::from_be_bytes([out[1], out[2], out[3], out[4]]) as usize;
-                let in_row = out.len() > described + 11 && self.sim.chance.borrow_mut().bool();
+                let in_row = out.len() > described + 11 && self.sim.rng.borrow_mut().bool();
                 let from = if in_row { described + 7 } else { 0 };
-                let at = from + self.sim.chance.borrow_mut().usize(..4);
+                let at = from + self.sim.rng.borrow_mut().usize(..4);
                 out[at] ^= 0x55;
                 let _ = talk.say(&out).await;
                 // The connection stays open and is of no further use.
@@ -127,7 +133,7 @@
             encode_status(
                 &mut out,
                 primary,
-                Some(UNIX.as_millis() as f64 + at as f64 / 10.0),
+                Some(START_UNIX_TIME.as_millis() as f64 + at as f64 / 10.0),
             );
             talk.say(&out).await?;
         }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -8,9 +8,9 @@
 
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use leverpoint_runtime::Instant;
-use leverpoint_simulator::outcome::Played;
+use leverpoint_simulator::outcome::RunOutcome;
 use leverpoint_simulator::scene::{self, Scene};
-use leverpoint_simulator::world::{Collisions, MEANINGS, Meaning};
+use leverpoint_simulator::simulation::{Collisions, GATEWAY_EVENTS, GatewayEvent};
 use leverpoint_simulator::{compare, shrink};
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
@@ -184,7 +184,7 @@
                     .as_ref()
                     .map_or("not found".to_owned(), |(n, _)| n.to_string());
                 let what = found.map_or(String::new(), |(_, b)| {
-                    format!("rule {}: {}", b.rule, b.what)
+                    format!("rule {}: {}", b.rule, b.description)
                 });
                 println!("| {name} | {scenario} | {seeds} | {what} |");
                 all &= !what_is_missing(&seeds);
@@ -235,7 +235,7 @@
             mine.push((seed, scene.play(seed, began, false)));
         }
     };
-    let mut played: Vec<(u64, Played)> = thread::scope(|scope| {
+    let mut played: Vec<(u64, RunOutcome)> = thread::scope(|scope| {
         let threads: Vec<_> = (0..jobs).map(|_| scope.spawn(work)).collect();
         threads
             .into_iter()
@@ -247,15 +247,18 @@
     played
         .iter()
         .for_each(|(_, p)| digest.update(&p.digest.to_le_bytes()));
-    let sum = |of: &dyn Fn(&Played) -> f64| played.iter().map(|(_, p)| of(p)).sum::<f64>();
-    let broken: Vec<_> = played.iter().filter(|(_, p)| p.broken.is_some()).collect();
+    let sum = |of: &dyn Fn(&RunOutcome) -> f64| played.iter().map(|(_, p)| of(p)).sum::<f64>();
+    let broken: Vec<_> = played
+        .iter()
+        .filter(|(_, p)| p.violation.is_some())
+        .collect();
     for (seed, p) in broken.iter().take(5) {
-        if let Some(b) = &p.broken {
+        if let Some(b) = &p.violation {
             eprintln!(
                 "seed {seed}: rule {} at {} ms: {}",
                 b.rule,
                 b.at / 10,
-                b.what
+                b.description
             );
         }
     }
@@ -277,12 +280,12 @@
             .zip(collisions.iter_mut().flatten());
         cells.for_each(|(one, all)| *all += one);
     }
-    for (first, name) in MEANINGS {
-        let with = |(later, other): &(Meaning, &str)| {
+    for (first, name) in GATEWAY_EVENTS {
+        let with = |(later, other): &(GatewayEvent, &str)| {
             let times = collisions[first as usize][*later as usize];
             (times > 0).then(|| format!("{other} {times}"))
         };
-        let met: Vec<_> = MEANINGS.iter().filter_map(with).collect();
+        let met: Vec<_> = GATEWAY_EVENTS.iter().filter_map(with).collect();
         if !met.is_empty() {
             eprintln!("{name} on one instant before: {}", met.join(", "));
         }
@@ -292,9 +295,9 @@
         seeds: played.len() as u64,
         broken: broken.len() as u64,
         steps: sum(&|p| p.steps as f64) as u64,
-        commands: sum(&|p| p.commands as f64) as u64,
+        commands: sum(&|p| p.requests as f64) as u64,
         collisions: collisions.iter().flatten().sum(),
-        benefit: sum(&|p| p.benefit) / sum(&|p| p.asked).max(1.0),
+        benefit: sum(&|p| p.benefit) / sum(&|p| p.possible_benefit).max(1.0),
         seconds: began.elapsed().as_secs_f64(),
         digest: format!("{:016x}", digest.digest()),
     };
@@ -317,9 +320,9 @@
         }
         None => print!("{text}"),
     }
-    match &played.broken {
+    match &played.violation {
         Some(b) => {
-            eprintln!("rule {} at {} ms: {}", b.rule, b.at / 10, b.what);
+            eprintln!("rule {} at {} ms: {}", b.rule, b.at / 10, b.description);
             ExitCode::FAILURE
         }
         None => ExitCode::SUCCESS,
--- a/crates/simulator/src/plants.rs
+++ b/crates/simulator/src/plants.rs
@@ -4,7 +4,7 @@
 
 use leverpoint_runtime::{Instant, set_failpoint};
 
-use crate::checker::Broken;
+use crate::checker::Violation;
 use crate::scene::scene;
 
 /// Name, and the scenario that is meant to find it.
@@ -42,18 +42,18 @@
 ];
 
 /// How many seeds from 0 on it takes, and what they find.
-pub fn find(plant: &'static str, name: &str, most: u64, base: Instant) -> Option<(u64, Broken)> {
+pub fn find(plant: &'static str, name: &str, most: u64, base: Instant) -> Option<(u64, Violation)> {
     let scene = scene(name).expect("a scenario of our own");
     set_failpoint(Some(plant));
     let found = (0..most).find_map(|seed| {
-        let broken = scene.play(seed, base, false).broken?;
+        let broken = scene.play(seed, base, false).violation?;
         Some((seed + 1, broken))
     });
     set_failpoint(None);
     found
 }
 
-type Found = (&'static str, &'static str, Option<(u64, Broken)>);
+type Found = (&'static str, &'static str, Option<(u64, Violation)>);
 
 pub fn find_all(most: u64, base: Instant) -> Vec<Found> {
     PLANTS
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/run.rs
@@ -14,9 +14,9 @@
 use crate::course::{
     AFTERWARDS, BUILD, CLIENTS, GRACE, LATENCY, LONGEST, Place, Play, STARTS, WINDOW,
 };
-use crate::outcome::Played;
+use crate::outcome::RunOutcome;
 use crate::script::{Fault, Scenario, Script};
-use crate::world::{EventSource, Meaning, Process, Role, Sim};
+use crate::simulation::{EventSource, GatewayEvent, ProcessId, Role, Simulation};
 
 impl Play {
     fn health(&self, machine: usize, health: Health) {
@@ -57,7 +57,7 @@
             }
             Fault::Silent(m, silent) => {
                 self.health(m, if silent { Health::Silent } else { Health::Up });
-                self.sim.set_silent(self.machine_process(m), silent);
+                self.sim.set_isolated(self.machine_process(m), silent);
             }
             Fault::MachineDies(m) => {
                 self.health(m, Health::Down);
@@ -66,7 +66,8 @@
             Fault::MachineReturns(m) => {
                 // A machine is listed as it starts, and serves a moment later.
                 self.health(m, Health::Up);
-                self.sim.begin(self.machine_process(m), Role::Machine);
+                self.sim
+                    .start_process(self.machine_process(m), Role::Server);
                 self.publish(now, m, Phase::Up);
                 let play = self.clone();
                 let starts = async move {
@@ -88,11 +89,11 @@
             Fault::Resets(m) => {
                 // All its connections break; the machine goes on.
                 let process = self.machine_process(m);
-                if self.sim.alive(process) {
+                if self.sim.is_alive(process) {
                     self.sim.kill(process);
                     let (set, member) = self.set_of(m);
                     self.place.sets.borrow_mut()[set].restart(member);
-                    self.sim.begin(process, Role::Machine);
+                    self.sim.start_process(process, Role::Server);
                     self.sim
                         .spawn_in(process, Box::pin(self.clone().machine(m)));
                 }
@@ -112,21 +113,23 @@
             Fault::Lies(m, on) => {
                 self.publish_role(now, m, if on { Phase::Removed } else { Phase::Up });
             }
-            Fault::ClockSteps(n, off) => self.sim.set_clock_off(self.gateway_process(n), off),
+            Fault::ClockSteps(n, off) => self.sim.set_clock_offset(self.gateway_process(n), off),
         }
     }
 
     /// Which gateway a fault meets as a signal.
-    fn meets(&self, fault: &Fault) -> Option<(Process, Meaning)> {
+    fn meets(&self, fault: &Fault) -> Option<(ProcessId, GatewayEvent)> {
         match fault {
-            Fault::GatewayStops(n) => Some((self.gateway_process(*n), Meaning::Stop)),
-            Fault::GatewayRereads(n, _) => Some((self.gateway_process(*n), Meaning::Reread)),
+            Fault::GatewayStops(n) => Some((self.gateway_process(*n), GatewayEvent::Shutdown)),
+            Fault::GatewayRereads(n, _) => {
+                Some((self.gateway_process(*n), GatewayEvent::ConfigReload))
+            }
             _ => None,
         }
     }
 
     fn kill_gateway(&self, n: usize) {
-        self.checker.borrow_mut().excuse(n, true);
+        self.checker.borrow_mut().set_gateway_exempt(n, true);
         self.sim.kill(self.gateway_process(n));
         self.gateways.borrow_mut()[n] = None;
     }
@@ -138,9 +141,10 @@
             let elected = self.place.sets.borrow_mut()[set].elect(now);
             if let Some(member) = elected {
                 let machine = set * self.place.a_set + member;
-                self.sim.record(EventSource::Set, (set, machine), || {
-                    format!("{set} elects {machine}")
-                });
+                self.sim
+                    .record(EventSource::ReplicaSet, (set, machine), || {
+                        format!("{set} elects {machine}")
+                    });
                 self.publish_role(now, machine, Phase::Up);
             }
         }
@@ -152,14 +156,14 @@
 }
 
 /// Plays a script to its end, or to the first broken rule.
-pub fn play(
+pub fn run_script(
     scenario: &Scenario,
     script: &Script,
     seed: u64,
     base: Instant,
     traced: bool,
-) -> Played {
-    let sim = Sim::new(seed, base, LATENCY, traced);
+) -> RunOutcome {
+    let sim = Simulation::new(seed, base, LATENCY, traced);
     set_simulated_runtime(Some(sim.clone()));
     let machines = scenario.sets * scenario.machines_a_set;
     let sets = (0..scenario.sets)
@@ -199,13 +203,13 @@
             .schedule_change(0, machine, set, Phase::Up, primary, 0);
     }
     play.place.list.borrow_mut().publish_due(0);
-    sim.begin(CLIENTS, Role::Client);
+    sim.start_process(CLIENTS, Role::Client);
     for n in 0..machines {
-        sim.begin(play.machine_process(n), Role::Machine);
+        sim.start_process(play.machine_process(n), Role::Server);
         sim.spawn_in(play.machine_process(n), Box::pin(play.clone().machine(n)));
     }
     for n in 0..scenario.gateways {
-        sim.begin(play.agent_process(n), Role::Agent);
+        sim.start_process(play.agent_process(n), Role::Agent);
         for second in [false, true] {
             sim.spawn_in(
                 play.agent_process(n),
@@ -224,24 +228,24 @@
         sim.spawn_in(CLIENTS, Box::pin(play.clone().client(n, asks, *slow)));
     }
     for (n, (at, _)) in script.faults.iter().enumerate() {
-        sim.fault_at(*at, n, play.meets(&script.faults[n].1));
+        sim.schedule_fault(*at, n, play.meets(&script.faults[n].1));
     }
     // Clients ask one thing after the other, so the last may begin late; what is open then ends in order.
     let (mut end, mut looked) = (LONGEST, -1);
     while sim.step(end) {
-        for fault in sim.faults() {
+        for fault in sim.take_due_faults() {
             play.fault(script.faults[fault].1);
         }
         // The sets and the list change with time, not with steps.
         if sim.time() / 10 != looked {
             looked = sim.time() / 10;
             play.tend();
-            if end == LONGEST && sim.tasks_of(CLIENTS) == 0 {
+            if end == LONGEST && sim.task_count(CLIENTS) == 0 {
                 end = sim.time() + AFTERWARDS;
             }
         }
-        play.checker.borrow_mut().step(sim.time());
-        if play.checker.borrow().broken.is_some() {
+        play.checker.borrow_mut().check_deadlines(sim.time());
+        if play.checker.borrow().violation.is_some() {
             break;
         }
     }
@@ -249,7 +253,7 @@
     let played = play.come_to();
     // What is left is dropped while the world still stands.
     (0..=play.machine_process(machines))
-        .filter(|p| sim.alive(*p))
+        .filter(|p| sim.is_alive(*p))
         .for_each(|p| sim.kill(p));
     play.gateways.borrow_mut().clear();
     set_simulated_runtime(None);
@@ -261,15 +265,15 @@
     fn settle(&self) {
         let mut checker = self.checker.borrow_mut();
         let now = self.now();
-        if checker.broken.is_some() {
+        if checker.violation.is_some() {
             return;
         }
-        if checker.open() > 0 {
-            let open = checker.open();
-            checker.breaks(now, 1, format!("{open} commands open at the end"));
+        if checker.open_requests() > 0 {
+            let open = checker.open_requests();
+            checker.report_violation(now, 1, format!("{open} commands open at the end"));
         }
         if self.sim.panics.get() > 0 {
-            checker.breaks(now, 0, format!("{} tasks panicked", self.sim.panics.get()));
+            checker.report_violation(now, 0, format!("{} tasks panicked", self.sim.panics.get()));
         }
         for (n, gateway) in self.gateways.borrow().iter().enumerate() {
             let Some(gateway) = gateway else { continue };
@@ -279,7 +283,7 @@
             if gateway.engine.open_requests() > 0
                 || tables.iter().any(|(t, size)| *t == "open_ids" && *size > 0)
             {
-                checker.breaks(
+                checker.report_violation(
                     now,
                     0,
                     format!("gateway {n} still has commands open: {tables:?}"),
@@ -294,23 +298,23 @@
                 "peers.slow",
             ];
             if left.iter().any(|name| held(name)) || gateway.metrics.clients.in_use() > 0 {
-                checker.breaks(now, 0, format!("gateway {n} still holds: {line}"));
+                checker.report_violation(now, 0, format!("gateway {n} still holds: {line}"));
             }
         }
     }
 
-    fn come_to(&self) -> Played {
+    fn come_to(&self) -> RunOutcome {
         let checker = self.checker.borrow();
         let collisions = *self.sim.collisions.borrow();
-        Played {
-            broken: checker.broken.clone(),
+        RunOutcome {
+            violation: checker.violation.clone(),
             steps: self.sim.steps.get(),
-            commands: checker.taken,
+            requests: checker.taken,
             collisions,
             benefit: self.benefit.get(),
-            asked: self.asked.get(),
+            possible_benefit: self.asked.get(),
             digest: self.sim.digest.borrow().digest(),
-            trace: self.sim.trace(),
+            trace: self.sim.take_trace(),
         }
     }
 }
--- a/crates/simulator/src/scene.rs
+++ b/crates/simulator/src/scene.rs
@@ -4,8 +4,8 @@
 
 use leverpoint_runtime::Instant;
 
-use crate::outcome::Played;
-use crate::{fleet, play, script};
+use crate::outcome::RunOutcome;
+use crate::{fleet, run, script};
 
 #[derive(Clone, Debug)]
 pub enum Scene {
@@ -79,10 +79,10 @@
     }
 
     /// Plays the script that a seed makes.
-    pub fn play(&self, seed: u64, base: Instant, traced: bool) -> Played {
+    pub fn play(&self, seed: u64, base: Instant, traced: bool) -> RunOutcome {
         match self {
             Scene::Gateways(scenario) => {
-                play::play(scenario, &scenario.script(seed), seed, base, traced)
+                run::run_script(scenario, &scenario.script(seed), seed, base, traced)
             }
             Scene::Members(scenario) => {
                 fleet::play(scenario, &scenario.script(seed), seed, base, traced)
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -7,7 +7,7 @@
 use leverpoint_runtime::Instant;
 
 use crate::fleet;
-use crate::play::play;
+use crate::run::run_script;
 use crate::scene::Scene;
 use crate::script::{Scenario, Script};
 
@@ -45,7 +45,7 @@
             faults: faults.to_vec(),
         };
         fleet::play(scenario, &script, seed, base, false)
-            .broken
+            .violation
             .map(|b| b.rule)
     };
     let mut faults = whole.faults.clone();
@@ -66,8 +66,8 @@
 fn gateways(scenario: &Scenario, seed: u64, base: Instant) -> String {
     let mut script = scenario.script(seed);
     let breaks = |script: &Script| {
-        play(scenario, script, seed, base, false)
-            .broken
+        run_script(scenario, script, seed, base, false)
+            .violation
             .map(|b| b.rule)
     };
     let Some(rule) = breaks(&script) else {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/simulation.rs
@@ -24,11 +24,11 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Time of day when the world begins: a whole second, so that it falls on the grid that all times here are on.
-pub const UNIX: Duration = Duration::from_secs(1_767_225_600);
+pub const START_UNIX_TIME: Duration = Duration::from_secs(1_767_225_600);
 /// What one direction of a connection holds, on its way and unread.
 const WINDOW: usize = 64 << 10;
 
-pub type Process = usize;
+pub type ProcessId = usize;
 
 /// What a process is to the gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,22 +37,22 @@
     Client,
     Gateway,
     Agent,
-    Machine,
+    Server,
 }
 
 /// What an event of the trace is about. The digest covers these by their order here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EventSource {
     Client,
-    ClientAnswer,
+    ClientResponse,
     Copies,
     Fault,
     Gateway,
-    Machine,
-    MachineAnswer,
+    Server,
+    ServerResponse,
     Member,
     Operator,
-    Set,
+    ReplicaSet,
     Read,
     Write,
 }
@@ -61,60 +61,60 @@
     fn name(self) -> &'static str {
         match self {
             EventSource::Client
-            | EventSource::ClientAnswer
+            | EventSource::ClientResponse
             | EventSource::Read
             | EventSource::Write => "client",
             EventSource::Copies => "copies",
             EventSource::Fault => "fault",
             EventSource::Gateway => "gateway",
-            EventSource::Machine | EventSource::MachineAnswer => "machine",
+            EventSource::Server | EventSource::ServerResponse => "machine",
             EventSource::Member => "member",
             EventSource::Operator => "operator",
-            EventSource::Set => "set",
+            EventSource::ReplicaSet => "set",
         }
     }
 }
 
 /// What an instant brings to a gateway, as far as collisions are told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum GatewayEvent {
     Timer,
-    Command,
-    HangUp,
+    Request,
+    ClientClosed,
     Accept,
     Reply,
-    Break,
+    UpstreamClosed,
     Connected,
-    List,
-    Stop,
-    Reread,
+    EndpointList,
+    Shutdown,
+    ConfigReload,
 }
 
-pub const MEANINGS: [(Meaning, &str); 10] = [
-    (Meaning::Timer, "timer"),
-    (Meaning::Command, "command"),
-    (Meaning::HangUp, "hang-up"),
-    (Meaning::Accept, "accept"),
-    (Meaning::Reply, "reply"),
-    (Meaning::Break, "break"),
-    (Meaning::Connected, "connected"),
-    (Meaning::List, "list"),
-    (Meaning::Stop, "stop"),
-    (Meaning::Reread, "reread"),
+pub const GATEWAY_EVENTS: [(GatewayEvent, &str); 10] = [
+    (GatewayEvent::Timer, "timer"),
+    (GatewayEvent::Request, "command"),
+    (GatewayEvent::ClientClosed, "hang-up"),
+    (GatewayEvent::Accept, "accept"),
+    (GatewayEvent::Reply, "reply"),
+    (GatewayEvent::UpstreamClosed, "break"),
+    (GatewayEvent::Connected, "connected"),
+    (GatewayEvent::EndpointList, "list"),
+    (GatewayEvent::Shutdown, "stop"),
+    (GatewayEvent::ConfigReload, "reread"),
 ];
 
 /// How often one fell on another's instant at the same gateway, by the one that the seed let go first.
-pub type Collisions = [[u64; MEANINGS.len()]; MEANINGS.len()];
+pub type Collisions = [[u64; GATEWAY_EVENTS.len()]; GATEWAY_EVENTS.len()];
 
 enum Due {
-    Wake(u64, Waker, Process),
+    Wake(u64, Waker, ProcessId),
     /// Bytes arrive at an end.
     Bytes(Rc<End>, Vec<u8>),
     Finish(Rc<End>),
     Reset(Rc<End>),
     Connect(Rc<RefCell<Knock>>),
     /// Of the script; what it is to which gateway.
-    Fault(usize, Option<(Process, Meaning)>),
+    Fault(usize, Option<(ProcessId, GatewayEvent)>),
 }
 
 struct Flag {
@@ -139,7 +139,7 @@
 }
 
 struct Running {
-    process: Process,
+    process: ProcessId,
     future: Option<Task>,
     flag: Arc<Flag>,
     waker: Waker,
@@ -160,28 +160,28 @@
 
 /// What happens to what is written from one process to another, each write a whole message.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    pub cut: bool,
+pub struct LinkFaults {
+    pub blocked: bool,
     /// Parts of the messages, from 0 to 1.
-    pub lose: f64,
-    pub double: f64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
 }
 
-pub struct Sim {
-    me: Weak<Sim>,
+pub struct Simulation {
+    me: Weak<Simulation>,
     base: Instant,
     now: Cell<Ticks>,
     tasks: RefCell<Vec<Option<Running>>>,
     free: RefCell<Vec<usize>>,
     lives: RefCell<Vec<Life>>,
-    current: Cell<Process>,
+    current: Cell<ProcessId>,
     due: RefCell<BTreeMap<(Ticks, u64), Due>>,
     next: Cell<u64>,
     /// How many unguessable numbers were given out.
     numbers: Cell<u64>,
     timers: RefCell<BTreeMap<u64, (Ticks, u64)>>,
     listeners: RefCell<BTreeMap<SocketAddr, Rc<Door>>>,
-    pub chance: RefCell<Rng>,
+    pub rng: RefCell<Rng>,
     latency: (Ticks, Ticks),
     pub steps: Cell<u64>,
     pub panics: Cell<u64>,
@@ -190,15 +190,15 @@
     trace: RefCell<Option<Vec<String>>>,
     ends: RefCell<Vec<Weak<End>>>,
     faults: RefCell<Vec<usize>>,
-    ways: RefCell<BTreeMap<(Process, Process), Way>>,
+    ways: RefCell<BTreeMap<(ProcessId, ProcessId), LinkFaults>>,
     /// Ready tasks of processes that are stopped.
-    still: RefCell<Vec<(Process, usize)>>,
+    still: RefCell<Vec<(ProcessId, usize)>>,
 }
 
-impl Sim {
-    pub fn new(seed: u64, base: Instant, latency: (Ticks, Ticks), traced: bool) -> Rc<Sim> {
+impl Simulation {
+    pub fn new(seed: u64, base: Instant, latency: (Ticks, Ticks), traced: bool) -> Rc<Simulation> {
         READY.with(|ready| ready.borrow_mut().clear());
-        Rc::new_cyclic(|me| Sim {
+        Rc::new_cyclic(|me| Simulation {
             me: me.clone(),
             base,
             now: Cell::new(0),
@@ -211,7 +211,7 @@
             numbers: Cell::new(0),
             timers: RefCell::default(),
             listeners: RefCell::default(),
-            chance: RefCell::new(Rng::with_seed(seed)),
+            rng: RefCell::new(Rng::with_seed(seed)),
             latency,
             steps: Cell::new(0),
             panics: Cell::new(0),
@@ -226,20 +226,20 @@
     }
 
     /// From here on, in that direction.
-    pub fn set_way(&self, from: Process, to: Process, way: Way) {
-        if way == Way::default() {
+    pub fn set_link_faults(&self, from: ProcessId, to: ProcessId, way: LinkFaults) {
+        if way == LinkFaults::default() {
             self.ways.borrow_mut().remove(&(from, to));
         } else {
             self.ways.borrow_mut().insert((from, to), way);
         }
     }
 
-    fn way(&self, from: Process, to: Process) -> Option<Way> {
+    fn way(&self, from: ProcessId, to: ProcessId) -> Option<LinkFaults> {
         self.ways.borrow().get(&(from, to)).copied()
     }
 
     /// The process stands still, or goes on with all that came meanwhile.
-    pub fn set_stopped(&self, process: Process, stopped: bool) {
+    pub fn set_suspended(&self, process: ProcessId, stopped: bool) {
         self.lives.borrow_mut()[process].stopped = stopped;
         if !stopped {
             let mut still = self.still.borrow_mut();
@@ -251,7 +251,7 @@
         }
     }
 
-    fn stopped(&self, process: Process) -> bool {
+    fn stopped(&self, process: ProcessId) -> bool {
         self.lives
             .borrow()
             .get(process)
@@ -262,7 +262,7 @@
         self.now.get()
     }
 
-    pub fn instant(&self, at: Ticks) -> Instant {
+    pub fn instant_at(&self, at: Ticks) -> Instant {
         self.base + Duration::from_micros(at.max(0) as u64 * 100)
     }
 
@@ -290,7 +290,7 @@
         }
     }
 
-    pub fn trace(&self) -> Vec<String> {
+    pub fn take_trace(&self) -> Vec<String> {
         self.trace.borrow_mut().take().unwrap_or_default()
     }
 
@@ -301,17 +301,22 @@
     }
 
     /// A fault of the script falls due then.
-    pub fn fault_at(&self, at: Ticks, fault: usize, meets: Option<(Process, Meaning)>) {
+    pub fn schedule_fault(
+        &self,
+        at: Ticks,
+        fault: usize,
+        meets: Option<(ProcessId, GatewayEvent)>,
+    ) {
         self.put(at, Due::Fault(fault, meets));
     }
 
     /// Faults that have fallen due since the last step.
-    pub fn faults(&self) -> Vec<usize> {
+    pub fn take_due_faults(&self) -> Vec<usize> {
         std::mem::take(&mut self.faults.borrow_mut())
     }
 
     /// A process begins, or begins again under its old number.
-    pub fn begin(&self, process: Process, role: Role) {
+    pub fn start_process(&self, process: ProcessId, role: Role) {
         let mut lives = self.lives.borrow_mut();
         if lives.len() <= process {
             lives.resize(process + 1, Life::default());
@@ -323,18 +328,18 @@
         ) = (true, role, false);
     }
 
-    pub fn set_clock_off(&self, process: Process, off: Ticks) {
+    pub fn set_clock_offset(&self, process: ProcessId, off: Ticks) {
         self.lives.borrow_mut()[process].off = off;
     }
 
-    pub fn alive(&self, process: Process) -> bool {
+    pub fn is_alive(&self, process: ProcessId) -> bool {
         self.lives
             .borrow()
             .get(process)
             .is_some_and(|life| life.alive)
     }
 
-    fn silent(&self, process: Process) -> bool {
+    fn silent(&self, process: ProcessId) -> bool {
         self.lives
             .borrow()
             .get(process)
@@ -342,7 +347,7 @@
     }
 
     /// The machine is cut off, or back: what was open then is reset.
-    pub fn set_silent(&self, process: Process, silent: bool) {
+    pub fn set_isolated(&self, process: ProcessId, silent: bool) {
         self.lives.borrow_mut()[process].silent = silent;
         if !silent {
             self.ends_of(process)
@@ -351,7 +356,7 @@
         }
     }
 
-    fn ends_of(&self, process: Process) -> Vec<Rc<End>> {
+    fn ends_of(&self, process: ProcessId) -> Vec<Rc<End>> {
         let mut ends = self.ends.borrow_mut();
         ends.retain(|end| end.strong_count() > 0);
         ends.iter()
@@ -361,7 +366,7 @@
     }
 
     /// Ends a process outright: its tasks are gone, its connections reset, its listeners closed.
-    pub fn kill(&self, process: Process) {
+    pub fn kill(&self, process: ProcessId) {
         self.lives.borrow_mut()[process].alive = false;
         self.still.borrow_mut().retain(|(p, _)| *p != process);
         self.listeners
@@ -386,8 +391,8 @@
         ends.into_iter().for_each(|end| end.break_off(self));
     }
 
-    pub fn spawn_in(&self, process: Process, task: Task) {
-        if !self.alive(process) {
+    pub fn spawn_in(&self, process: ProcessId, task: Task) {
+        if !self.is_alive(process) {
             return;
         }
         let id = self.free.borrow_mut().pop().unwrap_or_else(|| {
@@ -408,7 +413,7 @@
         });
     }
 
-    pub fn tasks_of(&self, process: Process) -> usize {
+    pub fn task_count(&self, process: ProcessId) -> usize {
         self.tasks
             .borrow()
             .iter()
@@ -417,7 +422,7 @@
             .count()
     }
 
-    pub fn listen(self: &Rc<Self>, process: Process, at: SocketAddr) -> Rc<Door> {
+    pub fn listen(self: &Rc<Self>, process: ProcessId, at: SocketAddr) -> Rc<Door> {
         let door = Rc::new(Door {
             process,
             queue: RefCell::default(),
@@ -437,7 +442,7 @@
             let pick = if ready.len() == 1 {
                 0
             } else {
-                self.chance.borrow_mut().usize(..ready.len())
+                self.rng.borrow_mut().usize(..ready.len())
             };
             Some(ready.swap_remove(pick))
         });
@@ -509,7 +514,7 @@
         batch.retain(|due| !self.clings(at, due));
         if batch.len() > 1 {
             // Bytes of one connection keep their order: they are due at one instant only by being one delivery.
-            self.chance.borrow_mut().shuffle(&mut batch);
+            self.rng.borrow_mut().shuffle(&mut batch);
             let met: Vec<_> = batch.iter().filter_map(|due| self.met(due)).collect();
             let mut collisions = self.collisions.borrow_mut();
             for (later, (gateway, what)) in met.iter().enumerate() {
@@ -527,22 +532,22 @@
     }
 
     /// Which gateway hears of this, and as what.
-    fn met(&self, due: &Due) -> Option<(Process, Meaning)> {
-        let role = |process: Process| self.lives.borrow().get(process).map(|life| life.role);
+    fn met(&self, due: &Due) -> Option<(ProcessId, GatewayEvent)> {
+        let role = |process: ProcessId| self.lives.borrow().get(process).map(|life| life.role);
         let (gateway, what) = match due {
-            Due::Wake(_, _, process) => (*process, Meaning::Timer),
+            Due::Wake(_, _, process) => (*process, GatewayEvent::Timer),
             Due::Bytes(end, _) => {
                 let what = match role(end.toward)? {
-                    Role::Machine => Meaning::Reply,
-                    Role::Agent => Meaning::List,
-                    _ => Meaning::Command,
+                    Role::Server => GatewayEvent::Reply,
+                    Role::Agent => GatewayEvent::EndpointList,
+                    _ => GatewayEvent::Request,
                 };
                 (end.process, what)
             }
             Due::Finish(end) | Due::Reset(end) => {
                 let what = match role(end.toward)? {
-                    Role::Client => Meaning::HangUp,
-                    _ => Meaning::Break,
+                    Role::Client => GatewayEvent::ClientClosed,
+                    _ => GatewayEvent::UpstreamClosed,
                 };
                 (end.process, what)
             }
@@ -550,8 +555,8 @@
                 let (from, to) = (knock.borrow().from, knock.borrow().to);
                 let door = self.listeners.borrow().get(&to).map(|door| door.process);
                 match door {
-                    Some(door) if role(door) == Some(Role::Gateway) => (door, Meaning::Accept),
-                    _ => (from, Meaning::Connected),
+                    Some(door) if role(door) == Some(Role::Gateway) => (door, GatewayEvent::Accept),
+                    _ => (from, GatewayEvent::Connected),
                 }
             }
             Due::Fault(_, meets) => (*meets)?,
@@ -565,13 +570,18 @@
         let Due::Fault(fault, Some(meets)) = due else {
             return false;
         };
-        if self.chance.borrow_mut().bool() {
+        if self.rng.borrow_mut().bool() {
             return false;
         }
         let next = {
             let all = self.due.borrow();
             let later = all.range((at + 1, 0)..(at + 1_000, 0));
-            let wanted = |what| matches!(what, Meaning::Accept | Meaning::Command | Meaning::List);
+            let wanted = |what| {
+                matches!(
+                    what,
+                    GatewayEvent::Accept | GatewayEvent::Request | GatewayEvent::EndpointList
+                )
+            };
             later.into_iter().find_map(|((then, _), other)| {
                 self.met(other)
                     .filter(|(gateway, what)| *gateway == meets.0 && wanted(*what))
@@ -597,19 +607,17 @@
     }
 
     fn takes(&self) -> Ticks {
-        self.chance
-            .borrow_mut()
-            .i64(self.latency.0..=self.latency.1)
+        self.rng.borrow_mut().i64(self.latency.0..=self.latency.1)
     }
 
     fn knocked(&self, knock: &Rc<RefCell<Knock>>) {
         let (from, to) = (knock.borrow().from, knock.borrow().to);
         let door = self.listeners.borrow().get(&to).cloned();
         let outcome = match door {
-            _ if self.silent(from) || !self.alive(from) => return,
+            _ if self.silent(from) || !self.is_alive(from) => return,
             Some(door) if self.silent(door.process) => return,
             Some(door) if self.cut_between(from, door.process) => return,
-            Some(door) if self.alive(door.process) => {
+            Some(door) if self.is_alive(door.process) => {
                 let (near, far) = self.pair(from, door.process);
                 door.queue.borrow_mut().push_back(far);
                 door.waker
@@ -626,13 +634,13 @@
         knock.waker.take().into_iter().for_each(Waker::wake);
     }
 
-    fn cut_between(&self, one: Process, other: Process) -> bool {
+    fn cut_between(&self, one: ProcessId, other: ProcessId) -> bool {
         [(one, other), (other, one)]
             .into_iter()
-            .any(|(a, b)| self.way(a, b).is_some_and(|way| way.cut))
+            .any(|(a, b)| self.way(a, b).is_some_and(|way| way.blocked))
     }
 
-    fn pair(&self, one: Process, other: Process) -> (Rc<End>, Rc<End>) {
+    fn pair(&self, one: ProcessId, other: ProcessId) -> (Rc<End>, Rc<End>) {
         let end = |process, toward| {
             Rc::new(End {
                 sim: self.me.clone(),
@@ -654,9 +662,9 @@
     }
 }
 
-impl SimulatedRuntime for Sim {
+impl SimulatedRuntime for Simulation {
     fn now(&self) -> Instant {
-        self.instant(self.time())
+        self.instant_at(self.time())
     }
 
     fn unix_time(&self) -> Duration {
@@ -665,7 +673,7 @@
             .borrow()
             .get(self.current.get())
             .map_or(0, |life| life.off);
-        UNIX + Duration::from_micros((self.time() + off).max(0) as u64 * 100)
+        START_UNIX_TIME + Duration::from_micros((self.time() + off).max(0) as u64 * 100)
     }
 
     fn start_timer(&self, at: Instant, waker: &Waker) -> u64 {
@@ -717,7 +725,7 @@
 }
 
 struct Knock {
-    from: Process,
+    from: ProcessId,
     to: SocketAddr,
     outcome: Option<io::Result<Rc<End>>>,
     waker: Option<Waker>,
@@ -725,7 +733,7 @@
 
 /// Where connections to a process come in.
 pub struct Door {
-    process: Process,
+    process: ProcessId,
     queue: RefCell<VecDeque<Rc<End>>>,
     waker: RefCell<Option<Waker>>,
 }
@@ -744,10 +752,10 @@
 
 /// One end of a connection.
 pub struct End {
-    sim: Weak<Sim>,
-    process: Process,
+    sim: Weak<Simulation>,
+    process: ProcessId,
     /// Whose the other end is, or was.
-    toward: Process,
+    toward: ProcessId,
     other: RefCell<Weak<End>>,
     inner: RefCell<Inner>,
 }
@@ -782,12 +790,12 @@
     }
 
     /// Whether anything passes between the two machines.
-    fn passes(&self, sim: &Sim) -> bool {
+    fn passes(&self, sim: &Simulation) -> bool {
         let other = self.other.borrow().upgrade();
         !sim.silent(self.process) && other.is_none_or(|other| !sim.silent(other.process))
     }
 
-    fn receive(&self, sim: &Sim, bytes: Vec<u8>) {
+    fn receive(&self, sim: &Simulation, bytes: Vec<u8>) {
         let passes = self.passes(sim);
         let mut inner = self.inner.borrow_mut();
         if let Some(other) = self.other() {
@@ -815,7 +823,7 @@
     }
 
     /// The other side is reset after a way, and this one at once.
-    fn break_off(&self, sim: &Sim) {
+    fn break_off(&self, sim: &Simulation) {
         if let Some(other) = self.other() {
             let at = (sim.time() + sim.takes()).max(self.inner.borrow().last + 1);
             sim.put(at, Due::Reset(other));
@@ -897,11 +905,11 @@
         }
         let wrote = bytes.len();
         if let Some(way) = sim.way(self.process, self.toward) {
-            let mut chance = sim.chance.borrow_mut();
-            if way.cut || chance.f64() < way.lose {
+            let mut rng = sim.rng.borrow_mut();
+            if way.blocked || rng.f64() < way.loss_rate {
                 return Ok(wrote);
             }
-            if chance.f64() < way.double {
+            if rng.f64() < way.duplication_rate {
                 bytes.extend_from_within(..);
             }
         }
@@ -911,8 +919,8 @@
         inner.on_its_way += wrote;
         // One piece in four comes in two, split anywhere.
         let split = {
-            let mut chance = sim.chance.borrow_mut();
-            (bytes.len() > 1 && chance.u8(..4) == 0).then(|| chance.usize(1..wrote))
+            let mut rng = sim.rng.borrow_mut();
+            (bytes.len() > 1 && rng.u8(..4) == 0).then(|| rng.usize(1..wrote))
         };
         let back = split.map(|at| bytes.split_off(at));
         for piece in [Some(bytes), back].into_iter().flatten() {
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -5,8 +5,8 @@
     Health, ReplicaSet, ReplicaSetConfig, Reply, Statement,
 };
 use leverpoint_runtime::Instant;
-use leverpoint_simulator::checker::{Checker, Effects, Final, Outcome};
-use leverpoint_simulator::play::play;
+use leverpoint_simulator::checker::{Checker, ExecutionStatus, FinalResponse, Idempotency};
+use leverpoint_simulator::run::run_script;
 use leverpoint_simulator::scene;
 use leverpoint_simulator::script::{names, scenario};
 use leverpoint_test_support::values::expected_value;
@@ -16,13 +16,13 @@
     let base = Instant::now();
     for (name, scenario) in names() {
         for seed in 0..10 {
-            let played = play(&scenario, &scenario.script(seed), seed, base, false);
+            let played = run_script(&scenario, &scenario.script(seed), seed, base, false);
             assert_eq!(
-                played.broken, None,
+                played.violation, None,
                 "leverpoint-simulator replay --scenario {name} --seed {seed}"
             );
             assert!(
-                played.commands > 100 && played.steps > 1_000,
+                played.requests > 100 && played.steps > 1_000,
                 "{name} {seed}: {played:?}"
             );
         }
@@ -36,11 +36,11 @@
         for seed in 0..10 {
             let played = scene.play(seed, base, false);
             assert_eq!(
-                played.broken, None,
+                played.violation, None,
                 "leverpoint-simulator replay --scenario {name} --seed {seed}"
             );
             assert!(
-                played.commands > 100 && played.steps > 1_000,
+                played.requests > 100 && played.steps > 1_000,
                 "{name} {seed}: {played:?}"
             );
         }
@@ -58,11 +58,11 @@
         // A seed takes seconds without optimisation: .ci/run plays many with it.
         let played = scene.play(1, base, false);
         assert_eq!(
-            played.broken, None,
+            played.violation, None,
             "leverpoint-simulator replay --scenario {name} --seed 1"
         );
         assert!(
-            played.benefit > 10.0 && played.benefit <= played.asked,
+            played.benefit > 10.0 && played.benefit <= played.possible_benefit,
             "{name}: {played:?}"
         );
     }
@@ -79,7 +79,7 @@
     let scene = scene::scene("copies-layout").unwrap();
     let played = scene.play(220, Instant::now(), false);
     assert_eq!(
-        played.broken, None,
+        played.violation, None,
         "leverpoint-simulator replay --scenario copies-layout --seed 220"
     );
 }
@@ -91,7 +91,7 @@
     for seed in [22518, 28520, 34367] {
         let played = scene.play(seed, Instant::now(), false);
         assert_eq!(
-            played.broken, None,
+            played.violation, None,
             "leverpoint-simulator replay --scenario lists-lie --seed {seed}"
         );
     }
@@ -101,7 +101,7 @@
 fn one_seed_gives_one_trace_whenever_it_is_played() {
     let scenario = scenario("round-close").unwrap();
     let of = |seed, traced| {
-        play(
+        run_script(
             &scenario,
             &scenario.script(seed),
             seed,
@@ -119,7 +119,7 @@
 #[test]
 fn the_first_lines_of_a_trace_read_like_this() {
     let scenario = scenario("failover").unwrap();
-    let played = play(&scenario, &scenario.script(3), 3, Instant::now(), true);
+    let played = run_script(&scenario, &scenario.script(3), 3, Instant::now(), true);
     let of = |what: &str| {
         played
             .trace
@@ -141,71 +141,71 @@
 fn the_checker_knows_each_broken_rule() {
     let checker = || {
         let mut checker = Checker::new(20_000, 5_000, 10);
-        checker.sent(0, "a", 0, Effects::Mutating, 10_000, 64, None);
-        checker.sent(0, "k", 0, Effects::Keyed, 30_000, 64, None);
-        checker.sent(0, "r", 0, Effects::Replayable, 10_000, 64, Some(500));
+        checker.on_request_sent(0, "a", 0, Idempotency::NonIdempotent, 10_000, 64, None);
+        checker.on_request_sent(0, "k", 0, Idempotency::IdempotentByKey, 30_000, 64, None);
+        checker.on_request_sent(0, "r", 0, Idempotency::Idempotent, 10_000, 64, Some(500));
         checker
     };
     type Course = fn(&mut Checker);
     let courses: [(&str, Course); 14] = [
         ("answered with what was made", |c| {
-            c.came(5, "a", 0, 1);
-            c.came_to(9, "a", 1, Outcome::MayHave, true);
-            c.answered(12, "a", Final::Answered, &expected_value("a", 64));
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_execution_finished(9, "a", 1, ExecutionStatus::MayHaveExecuted, true);
+            c.on_response(12, "a", FinalResponse::Answered, &expected_value("a", 64));
         }),
         ("answered twice", |c| {
-            c.came(5, "a", 0, 1);
-            c.answered(12, "a", Final::Failed, b"");
-            c.answered(13, "a", Final::Failed, b"");
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_response(12, "a", FinalResponse::Failed, b"");
+            c.on_response(13, "a", FinalResponse::Failed, b"");
         }),
         ("another's value", |c| {
-            c.came(5, "a", 0, 1);
-            c.answered(12, "a", Final::Answered, &expected_value("k", 64));
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_response(12, "a", FinalResponse::Answered, &expected_value("k", 64));
         }),
-        ("never answered", |c| c.step(30_000)),
+        ("never answered", |c| c.check_deadlines(30_000)),
         ("mutating, twice", |c| {
-            c.came(5, "a", 0, 1);
-            c.came(9, "a", 0, 2);
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_dispatch(9, "a", 0, 2);
         }),
         ("mutating, again after it surely never ran", |c| {
-            c.came(5, "a", 0, 1);
-            c.came_to(6, "a", 1, Outcome::Never, false);
-            c.came(9, "a", 0, 2);
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_execution_finished(6, "a", 1, ExecutionStatus::NeverExecuted, false);
+            c.on_dispatch(9, "a", 0, 2);
         }),
         ("mutating, throttled though it may have run", |c| {
-            c.came(5, "a", 0, 1);
-            c.answered(9, "a", Final::Throttled, b"");
+            c.on_dispatch(5, "a", 0, 1);
+            c.on_response(9, "a", FinalResponse::Throttled, b"");
         }),
         ("keyed, inside its window", |c| {
-            c.came(5, "k", 0, 1);
-            c.came(15_000, "k", 0, 1);
+            c.on_dispatch(5, "k", 0, 1);
+            c.on_dispatch(15_000, "k", 0, 1);
         }),
         ("keyed, after its window", |c| {
-            c.came(5, "k", 0, 1);
-            c.came(25_000, "k", 0, 1);
+            c.on_dispatch(5, "k", 0, 1);
+            c.on_dispatch(25_000, "k", 0, 1);
         }),
         ("a drained machine inside the grace", |c| {
-            c.told(0, 0, 1, false);
-            c.came(5_000, "r", 0, 1);
+            c.on_phase_announced(0, 0, 1, false);
+            c.on_dispatch(5_000, "r", 0, 1);
         }),
         ("a drained machine after it", |c| {
-            c.told(0, 0, 1, false);
-            c.came(6_000, "r", 0, 1);
+            c.on_phase_announced(0, 0, 1, false);
+            c.on_dispatch(6_000, "r", 0, 1);
         }),
         ("one that is wanted again", |c| {
-            c.told(0, 0, 1, false);
-            c.told(100, 0, 1, true);
-            c.came(6_000, "r", 0, 1);
+            c.on_phase_announced(0, 0, 1, false);
+            c.on_phase_announced(100, 0, 1, true);
+            c.on_dispatch(6_000, "r", 0, 1);
         }),
-        ("a read of old data", |c| c.read(900, "r", 499, false)),
-        ("a cold machine pushed over", |c| c.fell(900, 3)),
+        ("a read of old data", |c| c.on_read(900, "r", 499, false)),
+        ("a cold machine pushed over", |c| c.on_cold_crash(900, 3)),
     ];
     let mut out = String::new();
     for (what, course) in courses {
         let mut checker = checker();
         course(&mut checker);
-        let said = checker.broken.map_or("kept".to_owned(), |b| {
-            format!("rule {}, {}", b.rule, b.what)
+        let said = checker.violation.map_or("kept".to_owned(), |b| {
+            format!("rule {}, {}", b.rule, b.description)
         });
         out += &format!("{what}: {said}\n");
     }
