--- a/crates/simulator/src/outcome.rs
+++ b/crates/simulator/src/outcome.rs
@@ -1,20 +1,25 @@
-//! Owns what a run has come to, whatever was played.
-//!
-//! It must never look into a run.
+//! The result of one simulated run, of either kind of scenario.
 
 use crate::checker::Violation;
 use crate::simulation::Collisions;
 
-/// What a run has come to.
+/// Figures, digest and trace of a run.
 #[derive(Debug, Default)]
 pub struct RunOutcome {
+    /// The first broken rule, at which the run ended.
     pub violation: Option<Violation>,
+    /// Polled tasks and delivered events.
     pub steps: u64,
-    /// Commands sent by clients; in a fleet the messages of those members that run at the end.
+    /// Requests sent by clients; in a scenario of members the messages sent by those that run at the end.
     pub requests: u64,
     pub collisions: Collisions,
+    /// Sum over the answered requests, less for those after their target; in a scenario of members the number of
+    /// operations that got an exact read or a promise.
     pub benefit: f64,
+    /// The benefit if every request had been answered in time.
     pub possible_benefit: f64,
+    /// Hash of all recorded events.
     pub digest: u64,
+    /// One line for each recorded event, empty unless the run was traced.
     pub trace: Vec<String>,
 }
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -309,7 +309,7 @@
         RunOutcome {
             violation: checker.violation.clone(),
             steps: self.sim.steps.get(),
-            requests: checker.taken,
+            requests: checker.sent_requests,
             collisions,
             benefit: self.benefit.get(),
             possible_benefit: self.asked.get(),
