--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -1,6 +1,8 @@
-//! Owns the clients of one run: what they ask, where they go next, and what they make of what they hear.
+//! The clients of one run: they send the script's requests, retry them, pick gateways and classify the responses.
 //!
-//! It must never send a mutating command again that may have run.
+//! # Invariants
+//!
+//! A client never retries a request without an idempotency key that changes data and may have been executed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,47 +15,52 @@
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, put_message, query_message};
 
 use crate::checker::{FinalResponse, Idempotency};
-use crate::course::{Facts, LATENCY, Play, address, facts};
+use crate::run_context::{ClassProfile, NETWORK_LATENCY, RunContext, address, class_profile};
 use crate::script::{Ask, Group};
 use crate::simulation::EventSource;
-use crate::talk::Talk;
+use crate::wire_stream::WireStream;
 
-impl Play {
-    /// One client: its commands in their order, each on the connection it has.
-    pub(crate) async fn client(self: Rc<Self>, n: usize, asks: Vec<Ask>, slow: bool) {
+impl RunContext {
+    /// Runs one client: sends its requests in order, each over its present connection.
+    ///
+    /// A slow client reads 64 bytes at a time.
+    pub(crate) async fn run_client(self: Rc<Self>, n: usize, requests: Vec<Ask>, slow: bool) {
         let mut gateway = n % self.scenario.gateways;
-        let mut talk: Option<(Talk, u64)> = None;
-        let at_a_time = if slow { 64 } else { usize::MAX };
-        for ask in asks {
-            sleep_until(self.sim.instant_at(ask.at)).await;
-            let facts = facts(ask.group);
-            self.asked.set(self.asked.get() + facts.benefit);
-            let ends = self.now() + facts.timeout;
-            let began = self.now();
-            let key = format!("k{n}x{}", ask.at);
-            let hangs_up = ask.hangs_up.map(|after| self.sim.instant_at(began + after));
-            let mut repeats = 0;
-            while self.now() < ends {
-                if repeats == 0 && self.sim.rng.borrow_mut().f64() < self.scenario.roams {
-                    talk = None;
+        let mut open_connection: Option<(WireStream, u64)> = None;
+        let max_read = if slow { 64 } else { usize::MAX };
+        for request in requests {
+            sleep_until(self.sim.instant_at(request.at)).await;
+            let class = class_profile(request.group);
+            self.possible_benefit
+                .set(self.possible_benefit.get() + class.benefit);
+            let deadline = self.now() + class.timeout;
+            let started_at = self.now();
+            let idempotency_key = format!("k{n}x{}", request.at);
+            let disconnect_at = request
+                .hangs_up
+                .map(|after| self.sim.instant_at(started_at + after));
+            let mut retries = 0;
+            while self.now() < deadline {
+                if retries == 0 && self.sim.rng.borrow_mut().f64() < self.scenario.roams {
+                    open_connection = None;
                     gateway = self.sim.rng.borrow_mut().usize(..self.scenario.gateways);
                 }
-                // A front learns late that a gateway has died, and tries the next.
-                if talk.is_none() {
-                    talk = self
-                        .connect(gateway, ends)
+                // The load balancer in front of the gateways detects a dead one late, and then tries the next.
+                if open_connection.is_none() {
+                    open_connection = self
+                        .connect(gateway, deadline)
                         .await
-                        .map(|t| (t, self.life(gateway)));
-                    if talk.is_none() {
+                        .map(|t| (t, self.incarnation(gateway)));
+                    if open_connection.is_none() {
                         gateway = (gateway + 1) % self.scenario.gateways;
                         sleep(Duration::from_millis(20)).await;
                         continue;
                     }
                 }
-                let Some((line, life)) = &mut talk else {
+                let Some((connection, incarnation)) = &mut open_connection else {
                     continue;
                 };
-                if line.begun() {
+                if connection.has_unread_bytes() {
                     self.checker
                         .borrow_mut()
                         .on_unsolicited_bytes(self.now(), gateway);
@@ -62,111 +69,116 @@
                     "c{n}-{gateway}-{}",
                     self.next_id.replace(self.next_id.get() + 1)
                 );
-                let (text, length, owed) = self.statement(
-                    &ask,
-                    &facts,
+                let (sql, value_length, required_position) = self.build_statement(
+                    &request,
+                    &class,
                     n,
                     &id,
-                    &key,
-                    ends,
-                    repeats > 0,
+                    &idempotency_key,
+                    deadline,
+                    retries > 0,
                     gateway,
-                    *life,
+                    *incarnation,
                 );
-                let bytes = query_message(&text);
-                if line.say(&bytes).await.is_err() {
-                    talk = None;
+                let bytes = query_message(&sql);
+                if connection.write_all(&bytes).await.is_err() {
+                    open_connection = None;
                     continue;
                 }
-                let sent = self.now();
+                let sent_at = self.now();
                 self.checker.borrow_mut().on_request_sent(
-                    sent,
+                    sent_at,
                     &id,
                     gateway,
-                    facts.effects,
-                    ends,
-                    length,
-                    owed,
+                    class.effects,
+                    deadline,
+                    value_length,
+                    required_position,
                 );
-                if self.scenario.sessions && ask.group == Group::Own {
-                    let history = self.tokens.borrow().get(&n).map(|(at, ..)| *at);
+                if self.scenario.sessions && request.group == Group::Own {
+                    let write_position = self.last_writes.borrow().get(&n).map(|(at, ..)| *at);
                     self.checker
                         .borrow_mut()
-                        .set_session_write_position(&id, history);
+                        .set_session_write_position(&id, write_position);
                 }
-                let waits = sent + 2 * LATENCY.1 + 1_000 + ends - sent;
-                let until = hangs_up.unwrap_or(self.sim.instant_at(waits));
-                let mut heard = Vec::new();
-                let answer = timeout_at(until, hear(line, &mut heard, at_a_time)).await;
-                let whole = match answer {
+                let give_up_at = sent_at + 2 * NETWORK_LATENCY.1 + 1_000 + deadline - sent_at;
+                let until = disconnect_at.unwrap_or(self.sim.instant_at(give_up_at));
+                let mut response = Vec::new();
+                let read_result =
+                    timeout_at(until, read_response(connection, &mut response, max_read)).await;
+                let is_complete = match read_result {
                     Ok(Ok(())) => true,
-                    // It ended with an error, whole, and without being ready for more.
-                    Ok(Err(_)) => heard.first() == Some(&b'E') && !line.begun(),
+                    // A complete error response, after which the connection was closed without ReadyForQuery.
+                    Ok(Err(_)) => response.first() == Some(&b'E') && !connection.has_unread_bytes(),
                     Err(_) => {
-                        // Its client goes.
+                        // The client closes its connection.
                         self.checker.borrow_mut().on_request_abandoned(&id);
-                        talk = None;
+                        open_connection = None;
                         break;
                     }
                 };
-                let ready = matches!(answer, Ok(Ok(())));
-                if !whole {
-                    let begun = !heard.is_empty() || line.begun();
+                let is_ready = matches!(read_result, Ok(Ok(())));
+                if !is_complete {
+                    let response_begun = !response.is_empty() || connection.has_unread_bytes();
                     self.checker
                         .borrow_mut()
-                        .on_connection_lost(self.now(), &id, begun);
-                    talk = None;
+                        .on_connection_lost(self.now(), &id, response_begun);
+                    open_connection = None;
                     gateway = (gateway + 1) % self.scenario.gateways;
-                    repeats += 1;
-                    if facts.effects == Idempotency::NonIdempotent {
-                        // It may have run: whoever sent it does not know.
+                    retries += 1;
+                    if class.effects == Idempotency::NonIdempotent {
+                        // It may have been executed; the client cannot tell.
                         break;
                     }
                     continue;
                 }
-                let life = *life;
-                let value = value_of(&heard);
-                let verdict = classify_response(&heard, &expected_value(&id, length));
-                let how = match verdict {
+                let incarnation = *incarnation;
+                let value = row_value(&response);
+                let response_outcome =
+                    classify_response(&response, &expected_value(&id, value_length));
+                let final_response = match response_outcome {
                     ResponseOutcome::Answered | ResponseOutcome::Wrong => FinalResponse::Answered,
                     ResponseOutcome::Throttled(_) => FinalResponse::Throttled,
                     ResponseOutcome::Failed => FinalResponse::Failed,
                 };
-                self.sim.record(EventSource::Client, (n, how, &id), || {
-                    format!("{n} hears {how:?} to {id}")
-                });
+                self.sim
+                    .record(EventSource::Client, (n, final_response, &id), || {
+                        format!("{n} received {final_response:?} for {id}")
+                    });
                 self.checker
                     .borrow_mut()
-                    .on_response(self.now(), &id, how, &value);
-                if !ready {
-                    talk = None;
+                    .on_response(self.now(), &id, final_response, &value);
+                if !is_ready {
+                    open_connection = None;
                 }
-                match verdict {
+                match response_outcome {
                     ResponseOutcome::Answered => {
-                        let took = self.now() - began;
-                        let worth = if took <= facts.target {
-                            facts.benefit
+                        let response_time = self.now() - started_at;
+                        let benefit = if response_time <= class.target {
+                            class.benefit
                         } else {
-                            facts.benefit * facts.late
+                            class.benefit * class.late_factor
                         };
-                        self.benefit.set(self.benefit.get() + worth);
-                        if let Some(token) = notice_detail(&heard) {
-                            self.carried.borrow_mut().insert(n, token);
+                        self.benefit.set(self.benefit.get() + benefit);
+                        if let Some(token) = notice_detail(&response) {
+                            self.session_tokens.borrow_mut().insert(n, token);
                         }
-                        if matches!(ask.group, Group::Report | Group::Order) {
-                            // What a later read of the session must see through the same gateway's life: no more
-                            // than when it was sent, as the commit lies behind.
-                            self.tokens.borrow_mut().insert(n, (sent, gateway, life));
+                        if matches!(request.group, Group::Report | Group::Order) {
+                            // A later read of the session through the same incarnation of the gateway has to reach
+                            // this position: only the time of sending, as the commit came after it.
+                            self.last_writes
+                                .borrow_mut()
+                                .insert(n, (sent_at, gateway, incarnation));
                         }
                         break;
                     }
-                    ResponseOutcome::Throttled(ms) => {
-                        repeats += 1;
-                        sleep(Duration::from_millis(ms.max(50))).await;
+                    ResponseOutcome::Throttled(retry_after_ms) => {
+                        retries += 1;
+                        sleep(Duration::from_millis(retry_after_ms.max(50))).await;
                     }
-                    ResponseOutcome::Failed if facts.effects == Idempotency::NonIdempotent => break,
+                    ResponseOutcome::Failed if class.effects == Idempotency::NonIdempotent => break,
                     ResponseOutcome::Failed => {
-                        repeats += 1;
+                        retries += 1;
                         sleep(Duration::from_millis(100)).await;
                     }
                     ResponseOutcome::Wrong => break,
@@ -175,114 +187,122 @@
         }
     }
 
-    /// The statement of a command, how long its value is to be, and what it owes.
+    /// The statement of a request with its comment, the length of the value that it returns, and the position that a
+    /// read has to reach.
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn statement(
+    pub(crate) fn build_statement(
         &self,
-        ask: &Ask,
-        facts: &Facts,
+        request: &Ask,
+        class: &ClassProfile,
         client: usize,
         id: &str,
-        key: &str,
-        ends: Ticks,
-        repeat: bool,
+        idempotency_key: &str,
+        deadline: Ticks,
+        is_retry: bool,
         gateway: usize,
-        life: u64,
+        incarnation: u64,
     ) -> (String, usize, Option<Ticks>) {
-        let wait = (ends - self.now()) / 10;
-        // The quoted key names the session, and how long its values are.
-        let length = if client.is_multiple_of(7) { 6_000 } else { 300 };
-        let session = format!("{length}-s{client}");
+        let remaining_ms = (deadline - self.now()) / 10;
+        // The quoted key holds the length of the returned values and the session.
+        let value_length = if client.is_multiple_of(7) { 6_000 } else { 300 };
+        let session_key = format!("{value_length}-s{client}");
         let mut comment = format!(
-            "id={id},c={},t=club,d={wait},cluster={}",
-            facts.name, ask.set
+            "id={id},c={},t=club,d={remaining_ms},cluster={}",
+            class.name, request.set
         );
-        if repeat {
+        if is_retry {
             comment += ",r=1";
         }
-        if matches!(ask.group, Group::Report | Group::Order) {
-            if ask.group == Group::Report {
-                comment += &format!(",k={key}");
+        if matches!(request.group, Group::Report | Group::Order) {
+            if request.group == Group::Report {
+                comment += &format!(",k={idempotency_key}");
             }
-            let text = format!(
-                "INSERT INTO records (k, v) VALUES ('{session}', '\\x9f') RETURNING v /* {comment} */"
+            let sql = format!(
+                "INSERT INTO records (k, v) VALUES ('{session_key}', '\\x9f') RETURNING v /* {comment} */"
             );
-            return (text, 64, None);
+            return (sql, 64, None);
         }
-        if ask.group == Group::Own
-            && let Some(token) = self.carried.borrow().get(&client)
+        if request.group == Group::Own
+            && let Some(token) = self.session_tokens.borrow().get(&client)
         {
-            // One in three carries its token, one in twelve a forged one; the others none.
+            // One read in three carries its session token, one in twelve a forged token, the others none.
             match self.sim.rng.borrow_mut().u8(..12) {
                 0..=3 => comment += &format!(",after={token}"),
                 4 => comment += &format!(",after={}x{}", &token[..16], &token[17..]),
                 _ => {}
             }
         }
-        let owed = match ask.group {
+        let required_position = match request.group {
             Group::Board => Some(self.now() - 30_000),
             Group::Own => {
-                let tokens = self.tokens.borrow();
-                let known = tokens
+                let last_writes = self.last_writes.borrow();
+                let last_write = last_writes
                     .get(&client)
-                    .filter(|(_, g, l)| (*g, *l) == (gateway, life));
-                known.map(|(at, ..)| *at)
+                    .filter(|(_, g, i)| (*g, *i) == (gateway, incarnation));
+                last_write.map(|(at, ..)| *at)
             }
             _ => None,
         };
         (
-            format!("SELECT v FROM records WHERE k = '{session}' /* {comment} */"),
-            length,
-            owed,
+            format!("SELECT v FROM records WHERE k = '{session_key}' /* {comment} */"),
+            value_length,
+            required_position,
         )
     }
 
-    pub(crate) async fn connect(&self, gateway: usize, ends: Ticks) -> Option<Talk> {
-        let until = self.sim.instant_at(ends.min(self.now() + 10_000));
+    /// Opens a connection to a gateway within one second and before the deadline, and reads up to ReadyForQuery.
+    pub(crate) async fn connect(&self, gateway: usize, deadline: Ticks) -> Option<WireStream> {
+        let until = self.sim.instant_at(deadline.min(self.now() + 10_000));
         let stream = timeout_at(until, Stream::connect(address(0, gateway), None))
             .await
             .ok()?
             .ok()?;
-        let mut talk = Talk::new(stream);
-        talk.say(STARTUP_MESSAGE).await.ok()?;
-        let admitted = timeout_at(until, async {
+        let mut connection = WireStream::new(stream);
+        connection.write_all(STARTUP_MESSAGE).await.ok()?;
+        let is_ready = timeout_at(until, async {
             loop {
-                match talk.message(usize::MAX).await {
+                match connection.read_message(usize::MAX).await {
                     Ok((b'Z', _)) => return true,
                     Ok(_) => {}
                     Err(_) => return false,
                 }
             }
         });
-        admitted.await.ok().filter(|admitted| *admitted)?;
-        Some(talk)
+        is_ready.await.ok().filter(|is_ready| *is_ready)?;
+        Some(connection)
     }
 }
 
-/// Reads messages up to ReadyForQuery, or the end.
-async fn hear(talk: &mut Talk, heard: &mut Vec<u8>, at_a_time: usize) -> std::io::Result<()> {
+/// Appends messages to `response` up to and including ReadyForQuery.
+///
+/// A slow client pauses for 2 ms after each message.
+async fn read_response(
+    connection: &mut WireStream,
+    response: &mut Vec<u8>,
+    max_read: usize,
+) -> std::io::Result<()> {
     loop {
-        let (tag, body) = talk.message(at_a_time).await?;
-        if at_a_time < 1_000 {
+        let (tag, body) = connection.read_message(max_read).await?;
+        if max_read < 1_000 {
             sleep(Duration::from_millis(2)).await;
         }
-        put_message(heard, tag, &body);
+        put_message(response, tag, &body);
         if tag == b'Z' {
             return Ok(());
         }
     }
 }
 
-/// The value of the row in an answer, empty where there is none.
-fn value_of(heard: &[u8]) -> Vec<u8> {
-    let mut rest = heard;
+/// The value of the first row of a response, empty if there is none.
+fn row_value(response: &[u8]) -> Vec<u8> {
+    let mut rest = response;
     while let Some((tag, body)) = leverpoint_test_support::wire::read_message(&mut rest) {
         if tag == b'D' {
             let length = body
                 .get(2..6)
                 .map(|l| u32::from_be_bytes([l[0], l[1], l[2], l[3]]) as usize);
             let value = body.get(6..).unwrap_or_default().to_vec();
-            // A value that is not as long as it says is none.
+            // A value of another length than announced counts as missing.
             return if length == Some(value.len()) {
                 value
             } else {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -8,15 +8,15 @@
 mod clients;
 pub mod compare;
 pub mod copies;
-mod course;
 pub mod fleet;
-mod machines;
 pub mod outcome;
 #[cfg(feature = "plants")]
 pub mod plants;
 pub mod run;
+mod run_context;
 pub mod scene;
 pub mod script;
+mod servers;
 pub mod shrink;
 pub mod simulation;
-mod talk;
+mod wire_stream;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,6 +1,9 @@
-//! Owns one run: a script's faults, the checker after each step, what it has come to.
+//! Runs the script of a scenario with gateways: starts the processes, applies faults as they fall due, and checks the
+//! rules after each step and at the end.
 //!
-//! It must never let the code under test see anything but the world.
+//! # Invariants
+//!
+//! The code under test sees nothing but the simulation.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,26 +14,29 @@
 use tokio::sync::Notify;
 
 use crate::checker::Checker;
-use crate::course::{
-    AFTERWARDS, BUILD, CLIENTS, GRACE, LATENCY, LONGEST, Place, Play, STARTS, WINDOW,
-};
 use crate::outcome::RunOutcome;
+use crate::run_context::{
+    CLIENT_PROCESS, Cluster, DEDUPLICATION_WINDOW, DRAIN_GRACE, MAX_RUN_TIME, NETWORK_LATENCY,
+    REPLICA_SET_CONFIG, RunContext, SERVER_START_DELAY, SETTLING_TIME,
+};
 use crate::script::{Fault, Scenario, Script};
 use crate::simulation::{EventSource, GatewayEvent, ProcessId, Role, Simulation};
 
-impl Play {
-    fn health(&self, machine: usize, health: Health) {
-        let (set, member) = self.set_of(machine);
-        if self.place.sets.borrow()[set].is_primary(member) && health != Health::Up {
-            self.place
+impl RunContext {
+    /// Changes the health of a server, and records a primary that fails by it.
+    fn set_health(&self, server: usize, health: Health) {
+        let (set, member) = self.set_and_member(server);
+        if self.cluster.replica_sets.borrow()[set].is_primary(member) && health != Health::Up {
+            self.cluster
                 .was_primary
                 .borrow_mut()
-                .insert(machine, self.now());
+                .insert(server, self.now());
         }
-        self.place.sets.borrow_mut()[set].set_health(self.now(), member, health);
+        self.cluster.replica_sets.borrow_mut()[set].set_health(self.now(), member, health);
     }
 
-    fn fault(self: &Rc<Self>, fault: Fault) {
+    /// Records a fault and applies it to a server, an agent, a gateway or the endpoint list.
+    fn apply_fault(self: &Rc<Self>, fault: Fault) {
         self.sim
             .record(EventSource::Fault, fault, || format!("{fault:?}"));
         let now = self.now();
@@ -48,77 +54,76 @@
                         .spawn_in(process, Box::pin(async move { gateway.shut_down().await }));
                 }
             }
-            Fault::GatewayRereads(n, second) => {
-                self.place.agent_moved.borrow_mut()[n] = second;
+            Fault::GatewayRereads(n, on) => {
+                self.cluster.agent_at_second_address.borrow_mut()[n] = on;
                 let gateway = self.gateways.borrow()[n].clone();
                 gateway
                     .into_iter()
-                    .for_each(|gateway| gateway.apply_configuration(Ok(self.node(n, second))));
+                    .for_each(|gateway| gateway.apply_configuration(Ok(self.node_config(n, on))));
             }
-            Fault::Silent(m, silent) => {
-                self.health(m, if silent { Health::Silent } else { Health::Up });
-                self.sim.set_isolated(self.machine_process(m), silent);
+            Fault::Silent(m, isolated) => {
+                self.set_health(m, if isolated { Health::Silent } else { Health::Up });
+                self.sim.set_isolated(self.server_process(m), isolated);
             }
             Fault::MachineDies(m) => {
-                self.health(m, Health::Down);
-                self.sim.kill(self.machine_process(m));
+                self.set_health(m, Health::Down);
+                self.sim.kill(self.server_process(m));
             }
             Fault::MachineReturns(m) => {
-                // A machine is listed as it starts, and serves a moment later.
-                self.health(m, Health::Up);
-                self.sim
-                    .start_process(self.machine_process(m), Role::Server);
+                // A server is listed when its process starts, and accepts connections a moment later.
+                self.set_health(m, Health::Up);
+                self.sim.start_process(self.server_process(m), Role::Server);
                 self.publish(now, m, Phase::Up);
-                let play = self.clone();
-                let starts = async move {
-                    sleep(STARTS).await;
-                    play.machine(m).await;
+                let context = self.clone();
+                let start = async move {
+                    sleep(SERVER_START_DELAY).await;
+                    context.run_server(m).await;
                 };
-                self.sim.spawn_in(self.machine_process(m), Box::pin(starts));
+                self.sim.spawn_in(self.server_process(m), Box::pin(start));
             }
             Fault::Drains(m, on) => {
-                let (set, member) = self.set_of(m);
-                self.place.sets.borrow_mut()[set].drain(member, on);
-                self.publish_role(now, m, if on { Phase::Draining } else { Phase::Up });
+                let (set, member) = self.set_and_member(m);
+                self.cluster.replica_sets.borrow_mut()[set].drain(member, on);
+                self.publish_after_delay(now, m, if on { Phase::Draining } else { Phase::Up });
             }
             Fault::Lags(m, on) => {
-                let (set, member) = self.set_of(m);
-                self.place.sets.borrow_mut()[set].pause_replay(now, member, on);
+                let (set, member) = self.set_and_member(m);
+                self.cluster.replica_sets.borrow_mut()[set].pause_replay(now, member, on);
             }
-            Fault::Spoils(m, on) => self.place.spoils.borrow_mut()[m] = on,
+            Fault::Spoils(m, on) => self.cluster.corrupts_responses.borrow_mut()[m] = on,
             Fault::Resets(m) => {
-                // All its connections break; the machine goes on.
-                let process = self.machine_process(m);
+                // All its connections are reset; the host stays up.
+                let process = self.server_process(m);
                 if self.sim.is_alive(process) {
                     self.sim.kill(process);
-                    let (set, member) = self.set_of(m);
-                    self.place.sets.borrow_mut()[set].restart(member);
+                    let (set, member) = self.set_and_member(m);
+                    self.cluster.replica_sets.borrow_mut()[set].restart(member);
                     self.sim.start_process(process, Role::Server);
                     self.sim
-                        .spawn_in(process, Box::pin(self.clone().machine(m)));
+                        .spawn_in(process, Box::pin(self.clone().run_server(m)));
                 }
             }
             Fault::HandOver(m) => {
-                let (set, member) = self.set_of(m);
-                let before = self.place.sets.borrow()[set].primary();
-                if let Some(before) = before {
-                    let machine = set * self.place.a_set + before;
-                    self.place.was_primary.borrow_mut().insert(machine, now);
-                    self.place.sets.borrow_mut()[set].switch_primary(member);
-                    self.publish_role(now, machine, Phase::Up);
+                let (set, member) = self.set_and_member(m);
+                let old_primary = self.cluster.replica_sets.borrow()[set].primary();
+                if let Some(old_primary) = old_primary {
+                    let server = set * self.cluster.servers_per_set + old_primary;
+                    self.cluster.was_primary.borrow_mut().insert(server, now);
+                    self.cluster.replica_sets.borrow_mut()[set].switch_primary(member);
+                    self.publish_after_delay(now, server, Phase::Up);
                 }
-                self.publish_role(now, m, Phase::Up);
+                self.publish_after_delay(now, m, Phase::Up);
             }
-            Fault::AgentSilent(n, on) => self.agent_silent(n, on),
+            Fault::AgentSilent(n, on) => self.set_agent_silent(n, on),
             Fault::Lies(m, on) => {
-                self.publish_role(now, m, if on { Phase::Removed } else { Phase::Up });
+                self.publish_after_delay(now, m, if on { Phase::Removed } else { Phase::Up });
             }
             Fault::ClockSteps(n, off) => self.sim.set_clock_offset(self.gateway_process(n), off),
         }
     }
 
-    /// Which gateway a fault meets as a signal.
-    fn meets(&self, fault: &Fault) -> Option<(ProcessId, GatewayEvent)> {
+    /// The gateway that a fault reaches as a signal, and the event that it is there; `None` for other faults.
+    fn signal_to_gateway(&self, fault: &Fault) -> Option<(ProcessId, GatewayEvent)> {
         match fault {
             Fault::GatewayStops(n) => Some((self.gateway_process(*n), GatewayEvent::Shutdown)),
             Fault::GatewayRereads(n, _) => {
@@ -128,34 +133,37 @@
         }
     }
 
+    /// Kills a gateway's process, if it runs, and exempts it from the rules until its next start.
     fn kill_gateway(&self, n: usize) {
         self.checker.borrow_mut().set_gateway_exempt(n, true);
         self.sim.kill(self.gateway_process(n));
         self.gateways.borrow_mut()[n] = None;
     }
 
-    /// Elections that are due, changes that are published; when to look again is the caller's.
-    fn tend(&self) {
+    /// Completes elections that are due and publishes changes of the endpoint list that are due.
+    fn update_cluster(&self) {
         let now = self.now();
         for set in 0..self.scenario.sets {
-            let elected = self.place.sets.borrow_mut()[set].elect(now);
+            let elected = self.cluster.replica_sets.borrow_mut()[set].elect(now);
             if let Some(member) = elected {
-                let machine = set * self.place.a_set + member;
-                self.sim
-                    .record(EventSource::ReplicaSet, (set, machine), || {
-                        format!("{set} elects {machine}")
-                    });
-                self.publish_role(now, machine, Phase::Up);
+                let server = set * self.cluster.servers_per_set + member;
+                self.sim.record(EventSource::ReplicaSet, (set, server), || {
+                    format!("{set} elects {server}")
+                });
+                self.publish_after_delay(now, server, Phase::Up);
             }
         }
-        if self.place.list.borrow_mut().publish_due(now) {
-            (0..self.scenario.gateways).for_each(|n| self.agent_learns(n));
-            self.place.published.notify_waiters();
+        if self.cluster.endpoint_list.borrow_mut().publish_due(now) {
+            (0..self.scenario.gateways).for_each(|n| self.update_agent(n));
+            self.cluster.list_published.notify_waiters();
         }
     }
 }
 
-/// Plays a script to its end, or to the first broken rule.
+/// Runs a script to its end, or to the first broken rule.
+///
+/// `seed` decides everything that the script leaves open. `base` is the instant at which virtual time starts; it has no
+/// influence on the outcome. With `traced`, the outcome holds the text of all events.
 pub fn run_script(
     scenario: &Scenario,
     script: &Script,
@@ -163,106 +171,121 @@
     base: Instant,
     traced: bool,
 ) -> RunOutcome {
-    let sim = Simulation::new(seed, base, LATENCY, traced);
+    let sim = Simulation::new(seed, base, NETWORK_LATENCY, traced);
     set_simulated_runtime(Some(sim.clone()));
-    let machines = scenario.sets * scenario.machines_a_set;
-    let sets = (0..scenario.sets)
-        .map(|_| ReplicaSet::new(BUILD, scenario.machines_a_set))
+    let server_count = scenario.sets * scenario.machines_a_set;
+    let replica_sets = (0..scenario.sets)
+        .map(|_| ReplicaSet::new(REPLICA_SET_CONFIG, scenario.machines_a_set))
         .collect();
-    let play = Rc::new(Play {
+    let context = Rc::new(RunContext {
         sim: sim.clone(),
         scenario: scenario.clone(),
         seed,
-        checker: RefCell::new(Checker::new(WINDOW, GRACE, LATENCY.1)),
-        place: Place {
-            sets: RefCell::new(sets),
-            a_set: scenario.machines_a_set,
-            list: RefCell::default(),
-            published: Notify::new(),
-            spoils: RefCell::new(vec![false; machines]),
-            agent_silent: RefCell::new(vec![false; scenario.gateways]),
-            agent_silences: RefCell::new(vec![0; scenario.gateways]),
-            agent_knows: RefCell::new(vec![None; scenario.gateways]),
-            agent_moved: RefCell::new(vec![false; scenario.gateways]),
+        checker: RefCell::new(Checker::new(
+            DEDUPLICATION_WINDOW,
+            DRAIN_GRACE,
+            NETWORK_LATENCY.1,
+        )),
+        cluster: Cluster {
+            replica_sets: RefCell::new(replica_sets),
+            servers_per_set: scenario.machines_a_set,
+            endpoint_list: RefCell::default(),
+            list_published: Notify::new(),
+            corrupts_responses: RefCell::new(vec![false; server_count]),
+            agent_is_silent: RefCell::new(vec![false; scenario.gateways]),
+            agent_silence_count: RefCell::new(vec![0; scenario.gateways]),
+            agent_revision: RefCell::new(vec![None; scenario.gateways]),
+            agent_at_second_address: RefCell::new(vec![false; scenario.gateways]),
             was_primary: RefCell::default(),
         },
         gateways: RefCell::new(vec![None; scenario.gateways]),
-        lives: RefCell::new(vec![0; scenario.gateways]),
-        tokens: RefCell::default(),
-        carried: RefCell::default(),
+        gateway_incarnations: RefCell::new(vec![0; scenario.gateways]),
+        last_writes: RefCell::default(),
+        session_tokens: RefCell::default(),
         benefit: Cell::new(0.0),
-        asked: Cell::new(0.0),
+        possible_benefit: Cell::new(0.0),
         next_id: Cell::new(0),
     });
-    for machine in 0..machines {
-        let (set, member) = play.set_of(machine);
-        let primary = play.place.sets.borrow()[set].is_primary(member);
-        play.place
-            .list
-            .borrow_mut()
-            .schedule_change(0, machine, set, Phase::Up, primary, 0);
+    for server in 0..server_count {
+        let (set, member) = context.set_and_member(server);
+        let is_primary = context.cluster.replica_sets.borrow()[set].is_primary(member);
+        context.cluster.endpoint_list.borrow_mut().schedule_change(
+            0,
+            server,
+            set,
+            Phase::Up,
+            is_primary,
+            0,
+        );
     }
-    play.place.list.borrow_mut().publish_due(0);
-    sim.start_process(CLIENTS, Role::Client);
-    for n in 0..machines {
-        sim.start_process(play.machine_process(n), Role::Server);
-        sim.spawn_in(play.machine_process(n), Box::pin(play.clone().machine(n)));
+    context.cluster.endpoint_list.borrow_mut().publish_due(0);
+    sim.start_process(CLIENT_PROCESS, Role::Client);
+    for n in 0..server_count {
+        sim.start_process(context.server_process(n), Role::Server);
+        sim.spawn_in(
+            context.server_process(n),
+            Box::pin(context.clone().run_server(n)),
+        );
     }
     for n in 0..scenario.gateways {
-        sim.start_process(play.agent_process(n), Role::Agent);
-        for second in [false, true] {
+        sim.start_process(context.agent_process(n), Role::Agent);
+        for at_second_address in [false, true] {
             sim.spawn_in(
-                play.agent_process(n),
-                Box::pin(play.clone().agent(n, second)),
+                context.agent_process(n),
+                Box::pin(context.clone().serve_agent(n, at_second_address)),
             );
         }
-        play.start_gateway(n);
+        context.start_gateway(n);
     }
     for (n, slow) in script.slow.iter().enumerate() {
-        let asks = script
+        let requests = script
             .asks
             .iter()
-            .filter(|ask| ask.client == n)
+            .filter(|request| request.client == n)
             .copied()
             .collect();
-        sim.spawn_in(CLIENTS, Box::pin(play.clone().client(n, asks, *slow)));
+        sim.spawn_in(
+            CLIENT_PROCESS,
+            Box::pin(context.clone().run_client(n, requests, *slow)),
+        );
     }
     for (n, (at, _)) in script.faults.iter().enumerate() {
-        sim.schedule_fault(*at, n, play.meets(&script.faults[n].1));
+        sim.schedule_fault(*at, n, context.signal_to_gateway(&script.faults[n].1));
     }
-    // Clients ask one thing after the other, so the last may begin late; what is open then ends in order.
-    let (mut end, mut looked) = (LONGEST, -1);
+    // Clients send one request after the other, so the last one may start late. Once all clients have finished, the run
+    // goes on until what is open has ended.
+    let (mut end, mut last_update) = (MAX_RUN_TIME, -1);
     while sim.step(end) {
         for fault in sim.take_due_faults() {
-            play.fault(script.faults[fault].1);
+            context.apply_fault(script.faults[fault].1);
         }
-        // The sets and the list change with time, not with steps.
-        if sim.time() / 10 != looked {
-            looked = sim.time() / 10;
-            play.tend();
-            if end == LONGEST && sim.task_count(CLIENTS) == 0 {
-                end = sim.time() + AFTERWARDS;
+        // Replica sets and endpoint list depend on time, not on steps: one update per millisecond is enough.
+        if sim.time() / 10 != last_update {
+            last_update = sim.time() / 10;
+            context.update_cluster();
+            if end == MAX_RUN_TIME && sim.task_count(CLIENT_PROCESS) == 0 {
+                end = sim.time() + SETTLING_TIME;
             }
         }
-        play.checker.borrow_mut().check_deadlines(sim.time());
-        if play.checker.borrow().violation.is_some() {
+        context.checker.borrow_mut().check_deadlines(sim.time());
+        if context.checker.borrow().violation.is_some() {
             break;
         }
     }
-    play.settle();
-    let played = play.come_to();
-    // What is left is dropped while the world still stands.
-    (0..=play.machine_process(machines))
+    context.check_resources_released();
+    let outcome = context.outcome();
+    // The remaining tasks are dropped while the simulated runtime is still set, as they may call it.
+    (0..=context.server_process(server_count))
         .filter(|p| sim.is_alive(*p))
         .for_each(|p| sim.kill(p));
-    play.gateways.borrow_mut().clear();
+    context.gateways.borrow_mut().clear();
     set_simulated_runtime(None);
-    played
+    outcome
 }
 
-impl Play {
-    /// At the end nothing may be left: tables at their size, no claim held, no command open.
-    fn settle(&self) {
+impl RunContext {
+    /// Reports requests that are still open at the end of a run, panicked tasks, and resources that gateways still hold.
+    fn check_resources_released(&self) {
         let mut checker = self.checker.borrow_mut();
         let now = self.now();
         if checker.violation.is_some() {
@@ -270,7 +293,7 @@
         }
         if checker.open_requests() > 0 {
             let open = checker.open_requests();
-            checker.report_violation(now, 1, format!("{open} commands open at the end"));
+            checker.report_violation(now, 1, format!("{open} requests are open at the end"));
         }
         if self.sim.panics.get() > 0 {
             checker.report_violation(now, 0, format!("{} tasks panicked", self.sim.panics.get()));
@@ -278,18 +301,18 @@
         for (n, gateway) in self.gateways.borrow().iter().enumerate() {
             let Some(gateway) = gateway else { continue };
             let tables = gateway.engine.table_sizes();
-            let line = gateway.client_connections.summary();
-            let held = |name: &str| !line.contains(&format!("{name}=0"));
+            let summary = gateway.client_connections.summary();
+            let is_nonzero = |name: &str| !summary.contains(&format!("{name}=0"));
             if gateway.engine.open_requests() > 0
                 || tables.iter().any(|(t, size)| *t == "open_ids" && *size > 0)
             {
                 checker.report_violation(
                     now,
                     0,
-                    format!("gateway {n} still has commands open: {tables:?}"),
+                    format!("gateway {n} still has open requests: {tables:?}"),
                 );
             }
-            let left = [
+            let gauges_at_zero = [
                 "held.statements",
                 "held.answers",
                 "held.promised",
@@ -297,13 +320,20 @@
                 "peers.usual",
                 "peers.slow",
             ];
-            if left.iter().any(|name| held(name)) || gateway.metrics.clients.in_use() > 0 {
-                checker.report_violation(now, 0, format!("gateway {n} still holds: {line}"));
+            if gauges_at_zero.iter().any(|name| is_nonzero(name))
+                || gateway.metrics.clients.in_use() > 0
+            {
+                checker.report_violation(
+                    now,
+                    0,
+                    format!("gateway {n} still holds resources: {summary}"),
+                );
             }
         }
     }
 
-    fn come_to(&self) -> RunOutcome {
+    /// The result of the run; takes the trace.
+    fn outcome(&self) -> RunOutcome {
         let checker = self.checker.borrow();
         let collisions = *self.sim.collisions.borrow();
         RunOutcome {
@@ -312,7 +342,7 @@
             requests: checker.sent_requests,
             collisions,
             benefit: self.benefit.get(),
-            possible_benefit: self.asked.get(),
+            possible_benefit: self.possible_benefit.get(),
             digest: self.sim.digest.borrow().digest(),
             trace: self.sim.take_trace(),
         }
