--- a/crates/simulator/src/copies.rs
+++ b/crates/simulator/src/copies.rs
@@ -232,7 +232,7 @@
     spawn(keep(sim.clone(), shelf.clone(), line));
     let says = sim.clone();
     let said = Box::new(move |event: &ReplicationEvent| {
-        says.record(EventSource::Copies, (p, event), || {
+        says.record(EventSource::Replication, (p, event), || {
             format!("at {p} {event:?}")
         });
     });
--- a/crates/simulator/src/outcome.rs
+++ b/crates/simulator/src/outcome.rs
@@ -13,10 +13,10 @@
     /// Requests sent by clients; in a scenario of members the messages sent by those that run at the end.
     pub requests: u64,
     pub collisions: Collisions,
-    /// Sum over the answered requests, less for those after their target; in a scenario of members the number of
-    /// operations that got an exact read or a promise.
+    /// Sum over the answered requests, where an answer after the target of its class brings less; in a scenario of
+    /// members the number of reads with a known position and of writes that a quorum acknowledged.
     pub benefit: f64,
-    /// The benefit if every request had been answered in time.
+    /// The benefit if every request had been answered in time; in a scenario of members the number of operations.
     pub possible_benefit: f64,
     /// Hash of all recorded events.
     pub digest: u64,
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -126,9 +126,7 @@
     fn signal_to_gateway(&self, fault: &Fault) -> Option<(ProcessId, GatewayEvent)> {
         match fault {
             Fault::GatewayStops(n) => Some((self.gateway_process(*n), GatewayEvent::Shutdown)),
-            Fault::GatewayRereads(n, _) => {
-                Some((self.gateway_process(*n), GatewayEvent::ConfigReload))
-            }
+            Fault::GatewayRereads(n, _) => Some((self.gateway_process(*n), GatewayEvent::Reload)),
             _ => None,
         }
     }
@@ -284,7 +282,7 @@
 }
 
 impl RunContext {
-    /// Reports requests that are still open at the end of a run, panicked tasks, and resources that gateways still hold.
+    /// Reports panicked tasks, and what is left at the end of a run: open requests and resources that gateways hold.
     fn check_resources_released(&self) {
         let mut checker = self.checker.borrow_mut();
         let now = self.now();
