--- a/crates/config/src/operator.rs
+++ b/crates/config/src/operator.rs
@@ -1,12 +1,12 @@
-//! The operator's own file, in HCL: what the platform's configuration has no key for.
+//! The operator's own file, in HCL: options for which the platform's configuration has no key.
 //!
 //! Every key may be absent. The file is checked against the schema that is derived from the blocks' types, and an error
 //! names file, line, key and what was expected.
 
 mod backpressure;
-pub mod copies;
 mod document;
-pub mod members;
+pub mod membership;
+pub mod replication;
 mod sessions;
 
 use leverpoint_backpressure::{Limits, Ticks};
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use self::copies::{ReplicationPrerequisites, ReplicationSettings};
 use self::document::Document;
-use self::members::{MembershipSettings, ProcessIdentity};
+use self::membership::{MembershipSettings, ProcessIdentity};
+use self::replication::{ReplicationPrerequisites, ReplicationSettings};
 pub use self::sessions::SessionTracking;
 use crate::config_file;
 use crate::value_path::ConfigError;
@@ -26,20 +26,24 @@
 #[derive(Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 struct Blocks {
-    slow: backpressure::Block,
+    #[serde(rename = "slow")]
+    backpressure: backpressure::Block,
     sessions: sessions::Block,
-    members: members::Block,
-    copies: copies::Block,
+    #[serde(rename = "members")]
+    membership: membership::Block,
+    #[serde(rename = "copies")]
+    replication: replication::Block,
 }
 
-/// The operator's file, checked; the default is that of no file.
+/// The operator's file, checked. The default has no file and no options.
 #[derive(Debug, Default)]
 pub struct OperatorConfig {
     document: Document,
     blocks: Blocks,
 }
 
-/// Returns the JSON schema of the file.
+/// Returns the JSON schema of the file. `leverpoint check --schema` prints it, descriptions included: these are the doc
+/// comments of the blocks' types and of their fields.
 pub fn schema() -> Value {
     let settings = SchemaSettings::draft2020_12().with(|s| s.inline_subschemas = true);
     settings
@@ -60,7 +64,7 @@
     from_text(path, &text)
 }
 
-/// Checks a file's text; `path` is what errors call it.
+/// Checks a file's text; `path` names it in errors.
 ///
 /// # Errors
 ///
@@ -80,37 +84,41 @@
 }
 
 impl OperatorConfig {
-    /// The file's path, where there is one.
+    /// The file's path; `None` if there is no file.
     pub fn path(&self) -> Option<&str> {
         self.document.path()
     }
 
-    /// Returns the limits for slow clients: those that follow from the machine, and above them what the file states.
+    /// Returns the limits for slow clients: `defaults`, which follow from the machine, overridden by what the file
+    /// states.
     ///
     /// # Errors
     ///
-    /// Names the first size that does not fit the others, or `longest_message`, in bytes.
+    /// Names the first size that contradicts another one, or is below `longest_message`, in bytes.
     pub fn backpressure_limits(
         &self,
-        from: Limits,
+        defaults: Limits,
         longest_message: usize,
     ) -> Result<Limits, ConfigError> {
         let context = self.document.block("slow");
-        self.blocks.slow.limits(from, longest_message, &context)
+        self.blocks
+            .backpressure
+            .limits(defaults, longest_message, &context)
     }
 
-    /// Returns how sessions are tracked; none where they are not. `seed` numbers them where the file states no number.
+    /// Returns how sessions are tracked; `None` if they are not. `seed` is the secret of the hash that numbers them if
+    /// the file has none.
     ///
     /// # Errors
     ///
-    /// Names the first key that does not fit the others.
+    /// Names the first key that contradicts another one.
     pub fn session_tracking(&self, seed: u64) -> Result<Option<SessionTracking>, ConfigError> {
         let context = self.document.block("sessions");
         self.blocks.sessions.session_tracking(seed, &context)
     }
 
-    /// Returns the fleet that this process is a member of; none where it is of none. `name` and `zone` are the process's
-    /// own, `sockets` its descriptors.
+    /// Returns the membership of this process in its fleet; `None` if it belongs to none. `name` and `zone` are the
+    /// process's own, `descriptors` the number of file descriptors that it may use.
     ///
     /// # Errors
     ///
@@ -119,38 +127,40 @@
         &self,
         name: &str,
         zone: &str,
-        sockets: usize,
+        descriptors: usize,
     ) -> Result<Option<MembershipSettings>, ConfigError> {
         let process = ProcessIdentity {
             name,
             zone,
-            sockets,
+            descriptors,
         };
         let context = self.document.block("members");
-        self.blocks.members.membership(&process, &context)
+        self.blocks.membership.membership(&process, &context)
     }
 
-    /// Returns how this gateway's state is replicated; none where it is not. `longest_timeout` is the longest time that a
-    /// client waits or a retry is deduplicated.
+    /// Returns how this gateway's state is replicated; `None` if it is not. `longest_timeout` is the longest time that
+    /// a client waits or a retry is deduplicated.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong or lacks what it needs.
+    /// Names the first key that is wrong, or that requires a key of another block which is missing.
     pub fn replication(
         &self,
         longest_timeout: Ticks,
     ) -> Result<Option<ReplicationSettings>, ConfigError> {
         let prerequisites = ReplicationPrerequisites {
-            clock_difference: self.blocks.sessions.clock_difference(),
+            max_clock_skew: self.blocks.sessions.max_clock_skew(),
             longest_timeout,
-            is_member: self.blocks.members.is_member(),
+            is_member: self.blocks.membership.is_member(),
             shares_sessions: self.blocks.sessions.is_shared(),
         };
         let context = self.document.block("copies");
-        self.blocks.copies.replication(&prerequisites, &context)
+        self.blocks
+            .replication
+            .replication(&prerequisites, &context)
     }
 
-    /// Returns the paths of the keys that differ in another reading.
+    /// Returns the paths of the keys that differ in `other`.
     pub fn changed_keys(&self, other: &OperatorConfig) -> Vec<String> {
         self.document.changed_keys(&other.document)
     }
--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -105,13 +105,13 @@
         out,
         "limits {} MiB, {} descriptors",
         limits.memory_bytes >> 20,
-        limits.sockets
+        limits.descriptors
     )?;
-    for (name, class) in node.settings.classes.iter().zip(&routing.classes) {
+    for (name, class) in node.settings.class_names.iter().zip(&routing.classes) {
         writeln!(out, "command group {name}: {}", format_request_class(class))?;
     }
-    writeln!(out, "customers {}", node.settings.tenants.join(", "))?;
-    writeln!(out, "zones {}", node.settings.zones.join(", "))?;
+    writeln!(out, "customers {}", node.settings.tenant_names.join(", "))?;
+    writeln!(out, "zones {}", node.settings.zone_names.join(", "))?;
     writeln!(out, "{}", format_endpoint_list(&routing.endpoint_list))?;
     writeln!(out, "{}", format_permissions(&routing.permissions))?;
     writeln!(out, "{}", format_server_protection(&routing.protection))
