--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -245,12 +245,10 @@
             tasks: RefCell::default(),
             free_task_ids: RefCell::default(),
             processes: RefCell::default(),
-            /// The process whose task is polled or dropped at present.
             current_process: Cell::new(0),
             queue: RefCell::default(),
             next_sequence: Cell::new(0),
             secure_numbers_drawn: Cell::new(0),
-            /// Keys of the timers' events in the queue, by the number of the timer.
             timers: RefCell::default(),
             listeners: RefCell::default(),
             rng: RefCell::new(Rng::with_seed(seed)),
