--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -2,15 +2,15 @@
 //!
 //! It plays and measures; what a figure is worth is said in docs/. It must never send anything beyond loopback.
 
-mod copies;
-mod honest;
-mod members;
-mod price;
-mod record;
+mod harness;
+mod measurements;
+mod membership;
+mod open_loop;
+mod replication_loss;
 mod report;
+mod session_overhead;
 mod sessions;
-mod slow;
-mod stage;
+mod slow_peers;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,11 +18,11 @@
 use bpaf::{OptionParser, Parser, construct, long};
 
 enum Asked {
-    Slow(record::Asked),
+    Slow(measurements::Asked),
     Sessions(sessions::Asked),
     Price(sessions::Asked),
-    Members(members::Asked),
-    Copies(copies::Asked),
+    Members(membership::Asked),
+    Copies(replication_loss::Asked),
 }
 
 fn words() -> OptionParser<Asked> {
@@ -69,7 +69,7 @@
     let plain = long("plain")
         .help("Starts the gateway without an operator's file, as older ones want")
         .switch();
-    let slow = construct!(record::Asked {
+    let slow = construct!(measurements::Asked {
         readers,
         writers,
         tricklers,
@@ -99,7 +99,7 @@
         .descr("Loads and experiments for leverpoint")
 }
 
-fn copies_words() -> OptionParser<copies::Asked> {
+fn copies_words() -> OptionParser<replication_loss::Asked> {
     let tries = long("tries")
         .help("Machines lost, each right after an answer")
         .argument::<usize>("N");
@@ -126,7 +126,7 @@
         .help("The gateway; else the one beside this program")
         .argument("FILE");
     let program = program.optional();
-    let all = construct!(copies::Asked {
+    let all = construct!(replication_loss::Asked {
         tries,
         short,
         seed,
@@ -140,7 +140,7 @@
     )
 }
 
-fn members_words() -> OptionParser<members::Asked> {
+fn members_words() -> OptionParser<membership::Asked> {
     let faults = long("faults")
         .help("Faults, one after the other; 0: the cost by size alone")
         .argument::<usize>("N")
@@ -160,7 +160,7 @@
         .help("The gateway; else the one beside this program")
         .argument("FILE");
     let program = program.optional();
-    let all = construct!(members::Asked {
+    let all = construct!(membership::Asked {
         faults,
         short,
         seed,
@@ -222,7 +222,7 @@
 
 fn main() -> ExitCode {
     let line = match words().run() {
-        Asked::Slow(asked) => slow::run(&asked).map(|line| {
+        Asked::Slow(asked) => slow_peers::run(&asked).map(|line| {
             (
                 serde_json::to_string(&line).unwrap_or_default(),
                 line.lost + line.wrong == 0,
@@ -234,15 +234,15 @@
                 line.missing + line.wrong == 0,
             )
         }),
-        Asked::Members(asked) => members::run(&asked).map(|line| {
+        Asked::Members(asked) => membership::run(&asked).map(|line| {
             let kept = line.forks + line.false_gone + line.old_incarnation_believed == 0;
             (serde_json::to_string(&line).unwrap_or_default(), kept)
         }),
-        Asked::Copies(asked) => copies::run(&asked).map(|line| {
+        Asked::Copies(asked) => replication_loss::run(&asked).map(|line| {
             let kept = line.missing + line.promises_broken == 0 && line.keys_applied_twice == 0;
             (serde_json::to_string(&line).unwrap_or_default(), kept)
         }),
-        Asked::Price(asked) => price::run(&asked).map(|line| {
+        Asked::Price(asked) => session_overhead::run(&asked).map(|line| {
             (
                 serde_json::to_string(&line).unwrap_or_default(),
                 line.missing == 0,
--- a/crates/loadtest/src/members.rs
+++ b/crates/loadtest/src/membership.rs
@@ -21,7 +21,7 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-use crate::stage::{self, SETTINGS, cpu_s};
+use crate::harness::{self, SETTINGS, cpu_s};
 
 #[derive(Clone, Debug)]
 pub(crate) struct Asked {
@@ -295,7 +295,7 @@
     let mut times = [(); 2].map(|()| Histogram::<u64>::new(3).expect("three digits"));
     let mut lines: Vec<_> = stages
         .iter()
-        .map(|stage| stage::connect(&stage.gateway(0).address))
+        .map(|stage| harness::connect(&stage.gateway(0).address))
         .collect::<Option<_>>()
         .ok_or("no line")?;
     let rounds = if asked.short { 3_000 } else { 20_000 };
@@ -306,7 +306,7 @@
                 "SELECT v FROM records WHERE k = '64-p' /* id={id},c=view,t=honest,d=2000,cluster=2 */"
             );
             let began = Instant::now();
-            let heard = stage::ask(line, &text).ok_or("a connection ended")?;
+            let heard = harness::ask(line, &text).ok_or("a connection ended")?;
             if classify_response(&heard, &expected_value(&id, 64)) != ResponseOutcome::Answered {
                 return Err(format!("{id} was not answered"));
             }
@@ -366,7 +366,7 @@
 }
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = stage::program(&asked.program)?;
+    let program = harness::program(&asked.program)?;
     std::fs::create_dir_all(&asked.out).map_err(|e| e.to_string())?;
     let mut figures = Figures {
         processes: PROCESSES,
--- a/crates/loadtest/src/honest.rs
+++ b/crates/loadtest/src/open_loop.rs
@@ -15,7 +15,7 @@
 use leverpoint_test_support::values::expected_value;
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, query_message};
 
-use crate::record::Record;
+use crate::measurements::Record;
 
 /// How long an honest client waits for an answer.
 pub(crate) const TIMEOUT: Duration = Duration::from_millis(2_000);
--- a/crates/loadtest/src/copies.rs
+++ b/crates/loadtest/src/replication_loss.rs
@@ -19,8 +19,8 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
+use crate::harness::{self, PATIENCE, SETTINGS};
 use crate::sessions::{BUILD, MEMBERS, WORK};
-use crate::stage::{self, PATIENCE, SETTINGS};
 
 #[derive(Clone, Debug)]
 pub(crate) struct Asked {
@@ -123,8 +123,9 @@
                 .saturating_duration_since(Instant::now())
                 .as_millis()
                 .max(1);
-            let line = stage::connect(&self.stage.gateway(p).address);
-            let Some(heard) = line.and_then(|mut stream| stage::ask(&mut stream, &text(&id, left)))
+            let line = harness::connect(&self.stage.gateway(p).address);
+            let Some(heard) =
+                line.and_then(|mut stream| harness::ask(&mut stream, &text(&id, left)))
             else {
                 thread::sleep(Duration::from_millis(5));
                 continue;
@@ -366,7 +367,7 @@
     let mut times = [histogram(), histogram()];
     let connect = |of: &Vec<String>| {
         of.iter()
-            .map(|to| stage::connect(to))
+            .map(|to| harness::connect(to))
             .collect::<Option<Vec<_>>>()
     };
     let mut lines = addresses
@@ -381,10 +382,10 @@
                 thread::sleep(Duration::from_millis(chance.u64(5..40)));
             }
             let id = format!("b{n}n{round}x{which}");
-            let text = stage::of_session(&format!("64-b{n}x{}", round % 10), &id, true);
+            let text = harness::of_session(&format!("64-b{n}x{}", round % 10), &id, true);
             let began = Instant::now();
             loop {
-                let heard = stage::ask(&mut fleet[to], &text).ok_or("a connection ended")?;
+                let heard = harness::ask(&mut fleet[to], &text).ok_or("a connection ended")?;
                 match classify_response(&heard, &expected_value(&id, 64)) {
                     ResponseOutcome::Answered => break,
                     // Its client comes back; that time counts as well.
@@ -467,17 +468,17 @@
     let session = format!("64-q{n}");
     let mut lines: Vec<_> = addresses
         .iter()
-        .map(|address| stage::connect(address))
+        .map(|address| harness::connect(address))
         .collect();
     while !over.load(Relaxed) {
         thread::sleep(Duration::from_millis(chance.u64(20..120)));
         ids += 1;
         let (id, wrote) = (format!("q{n}n{ids}"), set.last_write_position(&session));
         let write = wrote.is_none() || chance.u8(..4) == 0;
-        let text = stage::of_session(&session, &id, write);
+        let text = harness::of_session(&session, &id, write);
         let began = Instant::now();
         let line = &mut lines[chance.usize(..addresses.len())];
-        let Some(heard) = line.as_mut().and_then(|stream| stage::ask(stream, &text)) else {
+        let Some(heard) = line.as_mut().and_then(|stream| harness::ask(stream, &text)) else {
             continue;
         };
         let answered =
@@ -518,7 +519,7 @@
         for n in 0..FILLS {
             let (next, address) = (&next, &addresses[n % PROCESSES]);
             scope.spawn(move || {
-                let mut line = stage::connect(address);
+                let mut line = harness::connect(address);
                 loop {
                     let nth = next.fetch_add(1, Relaxed);
                     if nth >= records {
@@ -530,10 +531,10 @@
                     );
                     if line
                         .as_mut()
-                        .and_then(|stream| stage::ask(stream, &text))
+                        .and_then(|stream| harness::ask(stream, &text))
                         .is_none()
                     {
-                        line = stage::connect(address);
+                        line = harness::connect(address);
                     }
                 }
             });
@@ -621,7 +622,7 @@
 
 /// Reads of anything, one after the other: when each was asked, and how long it took in ms.
 fn commands(address: &str, over: &AtomicBool) -> Vec<(Instant, f64)> {
-    let (mut all, mut line, mut n) = (Vec::new(), stage::connect(address), 0);
+    let (mut all, mut line, mut n) = (Vec::new(), harness::connect(address), 0);
     while !over.load(Relaxed) {
         n += 1;
         let text = format!(
@@ -630,10 +631,10 @@
         let began = Instant::now();
         if line
             .as_mut()
-            .and_then(|stream| stage::ask(stream, &text))
+            .and_then(|stream| harness::ask(stream, &text))
             .is_none()
         {
-            line = stage::connect(address);
+            line = harness::connect(address);
             continue;
         }
         all.push((began, began.elapsed().as_secs_f64() * 1e3));
@@ -691,7 +692,7 @@
 }
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = stage::program(&asked.program)?;
+    let program = harness::program(&asked.program)?;
     std::fs::create_dir_all(&asked.out).map_err(|e| e.to_string())?;
     let mut figures = Figures::default();
     if asked.tries > 0 {
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -9,7 +9,7 @@
 use leverpoint_test_support::slow_clients::ClientCounters;
 use plotters::prelude::*;
 
-use crate::record::{Asked, Figures, Record};
+use crate::measurements::{Asked, Figures, Record};
 
 const PERCENTS: [f64; 4] = [50.0, 90.0, 99.0, 99.9];
 
--- a/crates/loadtest/src/price.rs
+++ b/crates/loadtest/src/session_overhead.rs
@@ -17,8 +17,8 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
+use crate::harness;
 use crate::sessions::{self, Asked, BUILD, MEMBERS, WORK};
-use crate::stage;
 
 /// Shares of session reads at the primary, in the five seconds from each event on.
 #[derive(Debug, Default, Serialize)]
@@ -61,7 +61,7 @@
             .map(|a| a.clone())
             .unwrap_or_default();
         if line.as_ref().is_none_or(|(to, _)| *to != address) {
-            line = stage::connect(&address).map(|stream| (address, stream));
+            line = harness::connect(&address).map(|stream| (address, stream));
         }
         let Some((_, stream)) = &mut line else {
             continue;
@@ -70,9 +70,9 @@
         let id = format!("p{n}n{ids}");
         let wrote = set.last_write_position(&session);
         let write = wrote.is_none() || chance.u8(..4) == 0;
-        let text = stage::of_session(&session, &id, write);
+        let text = harness::of_session(&session, &id, write);
         let asked = Instant::now();
-        let Some(heard) = stage::ask(stream, &text) else {
+        let Some(heard) = harness::ask(stream, &text) else {
             line = None;
             continue;
         };
@@ -93,7 +93,7 @@
 }
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = stage::program(&asked.program)?;
+    let program = harness::program(&asked.program)?;
     let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|n| sessions::start(asked, &program, &known, &format!("price-{n}")))
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -19,7 +19,7 @@
 use leverpoint_test_support::values::expected_value;
 use serde::Serialize;
 
-use crate::stage::{self, PATIENCE};
+use crate::harness::{self, PATIENCE};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
@@ -112,8 +112,8 @@
                 .max(1);
             let Some(heard) = self.gateways[nth]
                 .as_ref()
-                .and_then(|gateway| stage::connect(&gateway.address))
-                .and_then(|mut stream| stage::ask(&mut stream, &text(&id, left)))
+                .and_then(|gateway| harness::connect(&gateway.address))
+                .and_then(|mut stream| harness::ask(&mut stream, &text(&id, left)))
             else {
                 thread::sleep(Duration::from_millis(5));
                 continue;
@@ -202,11 +202,11 @@
 /// A gateway that follows sessions as it is asked to.
 pub(crate) fn start(asked: &Asked, program: &Path, known: &str, name: &str) -> Gateway {
     let operator = operator(asked, name).expect("a file is written");
-    stage::start(Some(&operator).filter(|_| !asked.without), program, known)
+    harness::start(Some(&operator).filter(|_| !asked.without), program, known)
 }
 
 pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = stage::program(&asked.program)?;
+    let program = harness::program(&asked.program)?;
     let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
     let tries = if asked.short {
         asked.tries.min(400)
--- a/crates/loadtest/src/slow.rs
+++ b/crates/loadtest/src/slow_peers.rs
@@ -19,10 +19,10 @@
 };
 use leverpoint_test_support::wire::http_ok;
 
-use crate::honest::{Honest, Line};
-use crate::record::{Asked, Figures, Record};
+use crate::harness::{self, SETTINGS, cpu_s};
+use crate::measurements::{Asked, Figures, Record};
+use crate::open_loop::{Honest, Line};
 use crate::report;
-use crate::stage::{self, SETTINGS, cpu_s};
 
 const HONEST: usize = 32;
 /// A server's work for a command: far above the noise of a busy machine, far below any target.
@@ -53,7 +53,7 @@
 }
 
 fn set_up(asked: &Asked) -> Result<Stage, String> {
-    let program = stage::program(&asked.program)?;
+    let program = harness::program(&asked.program)?;
     let (set, members, known) = start_replica_set(IDEAL_SET, 3 + asked.tricklers, WORK);
     let (agent, address) = (start_agent(), gateway::free_address());
     let text = gateway::config(&address, &agent.address, &known, SETTINGS)
