--- a/crates/loadtest/src/harness.rs
+++ b/crates/loadtest/src/harness.rs
@@ -1,6 +1,4 @@
-//! Owns what the experiments set up alike: the real program, a gateway in front of a set, a connection to one.
-//!
-//! It must never measure anything.
+//! Setup shared by the experiments: the gateway program, its settings, client connections and queries.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,9 +11,10 @@
     STARTUP_MESSAGE, http_ok, put_message, query_message, read_message,
 };
 
-/// How long a command of a session is waited for.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(2_000);
+/// Time limit of a session's request, retries included. A connection waits twice as long for data from the gateway.
+pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
+/// Settings file of the gateways: request classes `view`, `own` and `report`, tenants `honest` and `venue`.
 pub(crate) const SETTINGS: &str = r#"{"balancers": 1, "me": 0, "tickMs": 5.0, "zone": 0, "zones": ["a"], "discovery": "pushed",
     "contract": {"answerSlackMs": 20.0, "coldMs": 9000.0, "fallMs": 1500.0, "fallMultiple": 2.5, "startCapacity": 0.2,
      "stopSendingWithinMs": 500.0},
@@ -30,33 +29,42 @@
      "idleCloseMs": 15000.0},
     "tenants": [{"name": "honest", "share": 0.5, "quotaPerS": 1000.0}, {"name": "venue", "share": 0.5, "quotaPerS": 1000.0}]}"#;
 
-/// The gateway's program: the one that is named, else the one beside this.
-pub(crate) fn program(named: &Option<PathBuf>) -> Result<PathBuf, String> {
-    let beside = std::env::current_exe()
+/// Path of the gateway program: `explicit`, or else `leverpoint` in the directory of this program.
+///
+/// # Errors
+///
+/// Returns a message if there is no such file.
+pub(crate) fn gateway_binary(explicit: &Option<PathBuf>) -> Result<PathBuf, String> {
+    let sibling = std::env::current_exe()
         .map_err(|e| e.to_string())?
         .with_file_name("leverpoint");
-    let program = named.clone().unwrap_or(beside);
-    if !program.is_file() {
+    let path = explicit.clone().unwrap_or(sibling);
+    if !path.is_file() {
         return Err(format!(
-            "no gateway at {}: build it, or name it with --program",
-            program.display()
+            "no gateway program at {}: build it, or pass its path with --program",
+            path.display()
         ));
     }
-    Ok(program)
+    Ok(path)
 }
 
-/// A gateway with this operator's file, at an address of its own: one before may still have its old one.
-pub(crate) fn start(operator: Option<&String>, program: &Path, known: &str) -> Gateway {
+/// Starts a gateway with an operator's file, if one is given, and an agent that serves `known_list` as its endpoint list.
+/// Each start takes a new address, since the socket of an earlier gateway may still be open.
+pub(crate) fn start_gateway(
+    operator: Option<&String>,
+    program: &Path,
+    known_list: &str,
+) -> Gateway {
     let agent = start_agent();
-    let _ = agent.responses.send(http_ok(known));
+    let _ = agent.responses.send(http_ok(known_list));
     let address = gateway::free_address();
-    let text = gateway::config(&address, &agent.address, known, SETTINGS);
-    let words = operator.map_or(Vec::new(), |file| vec!["--operator", file]);
-    gateway::start(&text, address, agent, program, &words)
+    let text = gateway::config(&address, &agent.address, known_list, SETTINGS);
+    let args = operator.map_or(Vec::new(), |file| vec!["--operator", file]);
+    gateway::start(&text, address, agent, program, &args)
 }
 
-/// A session's report, or its look at what it has written.
-pub(crate) fn of_session(session: &str, id: &str, write: bool) -> String {
+/// SQL text of a write (request class `report`, with `id` as its idempotency key) or a read (`own`) of a session's row.
+pub(crate) fn session_statement(session: &str, id: &str, write: bool) -> String {
     if write {
         format!(
             "INSERT INTO records (k, v) VALUES ('{session}', '\\x9f') RETURNING v \
@@ -69,31 +77,31 @@
     }
 }
 
-/// A connection that is admitted.
+/// Connects to a gateway and completes the startup handshake. Returns `None` on any failure.
 pub(crate) fn connect(address: &str) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE * 2)).ok()?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT * 2)).ok()?;
     stream.set_nodelay(true).ok()?;
     stream.write_all(STARTUP_MESSAGE).ok()?;
     while read_message(&mut stream)?.0 != b'Z' {}
     Some(stream)
 }
 
-/// One answer, whole: its messages, up to ready.
-pub(crate) fn ask(stream: &mut TcpStream, text: &str) -> Option<Vec<u8>> {
+/// Sends a query and returns the messages of the response up to ReadyForQuery, or `None` if the connection fails first.
+pub(crate) fn send_query(stream: &mut TcpStream, text: &str) -> Option<Vec<u8>> {
     stream.write_all(&query_message(text)).ok()?;
-    let mut heard = Vec::new();
+    let mut response = Vec::new();
     loop {
         let (tag, body) = read_message(stream)?;
-        put_message(&mut heard, tag, &body);
+        put_message(&mut response, tag, &body);
         if tag == b'Z' {
-            return Some(heard);
+            return Some(response);
         }
     }
 }
 
-/// Processor time of a process so far, in seconds; ticks are hundredths of a second on every usual machine.
-pub(crate) fn cpu_s(pid: u32) -> f64 {
+/// CPU time that a process has used so far, in seconds. Assumes the usual 100 clock ticks a second on Linux.
+pub(crate) fn cpu_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields = stat
         .rsplit(')')
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,6 +1,12 @@
-//! Owns the command line of the experiments: `leverpoint-loadtest run slow`, `sessions`, `price`, `members`, `copies`.
+//! Command line of the load tests: `leverpoint-loadtest run slow`, `sessions`, `price`, `members` and `copies`.
 //!
-//! It plays and measures; what a figure is worth is said in docs/. It must never send anything beyond loopback.
+//! Each experiment starts the gateway program with simulated database servers, discovery agents and clients, and prints
+//! its figures as one line of JSON. The exit status is a failure if an experiment could not run or found a violation of
+//! the guarantees that it checks. docs/ discusses the results.
+//!
+//! # Invariants
+//!
+//! All traffic stays on the loopback interface.
 
 mod harness;
 mod measurements;
@@ -17,59 +23,60 @@
 
 use bpaf::{OptionParser, Parser, construct, long};
 
-enum Asked {
-    Slow(measurements::Asked),
-    Sessions(sessions::Asked),
-    Price(sessions::Asked),
-    Members(membership::Asked),
-    Copies(replication_loss::Asked),
+/// The experiment to run, with its options.
+enum Experiment {
+    SlowPeers(measurements::Options),
+    Sessions(sessions::Options),
+    SessionOverhead(sessions::Options),
+    Membership(membership::Options),
+    ReplicationLoss(replication_loss::Options),
 }
 
-fn words() -> OptionParser<Asked> {
-    let number = |name: &'static str, help: &'static str, usual: usize| {
+fn option_parser() -> OptionParser<Experiment> {
+    let number = |name: &'static str, help: &'static str, default: usize| {
         long(name)
             .help(help)
             .argument::<usize>("N")
-            .fallback(usual)
+            .fallback(default)
             .display_fallback()
     };
     let readers = number("readers", "Clients that read slowly", 100);
     let writers = number("writers", "Clients that write slowly", 50);
     let tricklers = number(
         "tricklers",
-        "Servers that trickle their answers, of two replicas more",
+        "Additional replicas that send their responses one byte at a time",
         2,
     );
-    let memory_mb = number("memory-mb", "The gateway's memory in MiB", 32);
-    let sockets = number("sockets", "The gateway's descriptors", 256);
-    let pairs = number("pairs", "Clean and slow periods, a pair each", 3);
+    let memory_mb = number("memory-mb", "Memory limit of the gateway in MiB", 32);
+    let sockets = number("sockets", "Limit of the gateway's file descriptors", 256);
+    let pairs = number("pairs", "Number of pairs of a clean and a slow period", 3);
     let seed = long("seed")
-        .help("For all that is left to chance")
+        .help("Seed of the random choices")
         .argument::<u64>("N")
         .fallback(1);
     let short = long("short")
-        .help("Four seconds a period instead of ten")
+        .help("Periods of 4 s instead of 10 s")
         .switch();
     let out = long("out")
-        .help("Where tables and charts are written")
+        .help("Directory for tables and charts")
         .argument::<PathBuf>("DIR");
     let out = out.fallback("target/rig".into());
-    let without = long("without")
-        .help("Plays with this off: pace")
+    let without_pace = long("without")
+        .help("Disables a feature: pace")
         .argument::<String>("WHAT");
-    let known = |what: &String| what == "pace";
-    let without = without
-        .guard(known, "expected pace")
+    let is_supported = |what: &String| what == "pace";
+    let without_pace = without_pace
+        .guard(is_supported, "expected pace")
         .map(|_| true)
         .fallback(false);
     let program = long("program")
-        .help("The gateway; else the one beside this program")
+        .help("Path of the gateway program [default: leverpoint in the directory of this program]")
         .argument("FILE");
     let program = program.optional();
-    let plain = long("plain")
-        .help("Starts the gateway without an operator's file, as older ones want")
+    let no_operator_file = long("plain")
+        .help("Starts the gateway without an operator's file, for older versions that do not accept one")
         .switch();
-    let slow = construct!(measurements::Asked {
+    let slow_peers = construct!(measurements::Options {
         readers,
         writers,
         tricklers,
@@ -79,88 +86,105 @@
         seed,
         short,
         out,
-        without,
-        plain,
+        without_pace,
+        no_operator_file,
         program,
     });
-    let slow = slow
-        .to_options()
-        .descr("Slow readers, writers and servers beside honest clients");
-    let slow = slow.command("slow").map(Asked::Slow);
-    let sessions = sessions_words().command("sessions").map(Asked::Sessions);
-    let price = sessions_words().command("price").map(Asked::Price);
-    let members = members_words().command("members").map(Asked::Members);
-    let copies = copies_words().command("copies").map(Asked::Copies);
-    let run = construct!([slow, sessions, price, members, copies])
+    let slow_peers = slow_peers
         .to_options()
-        .descr("Plays an experiment")
-        .command("run");
+        .descr("Latency of well-behaved clients while other clients and servers are slow");
+    let slow_peers = slow_peers.command("slow").map(Experiment::SlowPeers);
+    let sessions = sessions_options()
+        .command("sessions")
+        .map(Experiment::Sessions);
+    let session_overhead = sessions_options()
+        .command("price")
+        .map(Experiment::SessionOverhead);
+    let membership = membership_options()
+        .command("members")
+        .map(Experiment::Membership);
+    let replication_loss = replication_loss_options()
+        .command("copies")
+        .map(Experiment::ReplicationLoss);
+    let run = construct!([
+        slow_peers,
+        sessions,
+        session_overhead,
+        membership,
+        replication_loss
+    ])
+    .to_options()
+    .descr("Runs an experiment")
+    .command("run");
     run.to_options()
-        .descr("Loads and experiments for leverpoint")
+        .descr("Load tests and experiments for leverpoint")
 }
 
-fn copies_words() -> OptionParser<replication_loss::Asked> {
-    let tries = long("tries")
-        .help("Machines lost, each right after an answer")
+fn replication_loss_options() -> OptionParser<replication_loss::Options> {
+    let trials = long("tries")
+        .help("Number of trials; each kills a gateway right after a response")
         .argument::<usize>("N");
-    let tries = tries.fallback(5_000);
-    let short = long("short").help("150 tries and short measures").switch();
+    let trials = trials.fallback(5_000);
+    let short = long("short")
+        .help("At most 150 trials, and shorter measurements")
+        .switch();
     let seed = long("seed")
-        .help("For all that is left to chance")
+        .help("Seed of the random choices")
         .argument::<u64>("N")
         .fallback(1);
     let out = long("out")
-        .help("Where tables and charts are written")
+        .help("Directory for tables and charts")
         .argument::<PathBuf>("DIR");
     let out = out.fallback("target/rig".into());
-    let without = long("without")
-        .help("Plays with this off: copies")
+    let without_replication = long("without")
+        .help("Disables a feature: copies")
         .argument::<String>("WHAT");
-    let without = without
+    let without_replication = without_replication
         .guard(|what| what == "copies", "expected copies")
         .map(|_| true)
         .fallback(false);
-    let records = long("records").help("Sessions held while one of five is replaced; 0: none");
+    let records = long("records")
+        .help("Session records stored while one of five gateways is replaced; 0 skips this part");
     let records = records.argument::<usize>("N").fallback(100_000);
     let program = long("program")
-        .help("The gateway; else the one beside this program")
+        .help("Path of the gateway program [default: leverpoint in the directory of this program]")
         .argument("FILE");
     let program = program.optional();
-    let all = construct!(replication_loss::Asked {
-        tries,
+    let all = construct!(replication_loss::Options {
+        trials,
         short,
         seed,
         out,
-        without,
+        without_replication,
         records,
         program
     });
     all.to_options().descr(
-        "Machines are lost with their folders right after answers, and what they held is read elsewhere",
+        "Gateways are killed and their data directories erased right after a response; their sessions read through others",
     )
 }
 
-fn members_words() -> OptionParser<membership::Asked> {
+fn membership_options() -> OptionParser<membership::Options> {
     let faults = long("faults")
-        .help("Faults, one after the other; 0: the cost by size alone")
+        .help("Number of faults, injected one after the other; 0 measures only the cost by fleet size")
         .argument::<usize>("N")
         .fallback(200);
     let short = long("short")
-        .help("Small fleets and short measures")
+        .help("Small fleets and short measurements")
         .switch();
     let seed = long("seed")
-        .help("For all that is left to chance")
+        .help("Seed of the random choices")
         .argument::<u64>("N")
         .fallback(1);
     let out = long("out")
-        .help("Where tables and charts are written")
+        .help("Directory for tables and charts")
         .argument::<PathBuf>("DIR");
     let out = out.fallback("target/rig".into());
     let program = long("program")
-        .help("The gateway; else the one beside this program")
+        .help("Path of the gateway program [default: leverpoint in the directory of this program]")
         .argument("FILE");
     let program = program.optional();
-    let all = construct!(membership::Asked {
+    let all = construct!(membership::Options {
         faults,
         short,
         seed,
@@ -168,13 +192,13 @@
         program
     });
     all.to_options().descr(
-        "Processes of a fleet are killed, burnt, stopped, cut off; who sees it when, and what it costs",
+        "Detection time of killed, stopped and partitioned gateways, and the cost of membership",
     )
 }
 
-fn sessions_words() -> OptionParser<sessions::Asked> {
+fn sessions_options() -> OptionParser<sessions::Options> {
     let mode = long("mode")
-        .help("How gateways know of writes: none, carried, disk")
+        .help("How gateways learn of writes of sessions: none, carried (client tokens), disk")
         .argument::<String>("MODE");
     let mode = mode.parse(|mode| match mode.as_str() {
         "none" => Ok(sessions::Mode::None),
@@ -183,83 +207,85 @@
         _ => Err("expected none, carried or disk"),
     });
     let mode = mode.fallback(sessions::Mode::None);
-    let tries = long("tries")
-        .help("Writes, each with its gateway's end")
+    let trials = long("tries")
+        .help("Number of writes, each followed by a kill of its gateway")
         .argument::<usize>("N")
         .fallback(5_000);
-    let short = long("short").help("400 tries").switch();
+    let short = long("short").help("At most 400 trials").switch();
     let seed = long("seed")
-        .help("For all that is left to chance")
+        .help("Seed of the random choices")
         .argument::<u64>("N")
         .fallback(1);
     let out = long("out")
-        .help("Where tables and charts are written")
+        .help("Directory for tables and charts")
         .argument::<PathBuf>("DIR");
     let out = out.fallback("target/rig".into());
-    let without = long("without")
-        .help("Plays with this off: sessions")
+    let without_sessions = long("without")
+        .help("Disables a feature: sessions")
         .argument::<String>("WHAT");
-    let without = without
+    let without_sessions = without_sessions
         .guard(|what| what == "sessions", "expected sessions")
         .map(|_| true)
         .fallback(false);
     let program = long("program")
-        .help("The gateway; else the one beside this program")
+        .help("Path of the gateway program [default: leverpoint in the directory of this program]")
         .argument("FILE");
     let program = program.optional();
-    let all = construct!(sessions::Asked {
+    let all = construct!(sessions::Options {
         mode,
-        tries,
+        trials,
         short,
         seed,
         out,
-        without,
+        without_sessions,
         program
     });
     all.to_options()
-        .descr("A gateway is killed right after each write's answer, its session reads elsewhere")
+        .descr("A gateway is killed right after its response to a write; the session reads through another")
 }
 
 fn main() -> ExitCode {
-    let line = match words().run() {
-        Asked::Slow(asked) => slow_peers::run(&asked).map(|line| {
+    let outcome = match option_parser().run() {
+        Experiment::SlowPeers(options) => slow_peers::run(&options).map(|figures| {
             (
-                serde_json::to_string(&line).unwrap_or_default(),
-                line.lost + line.wrong == 0,
+                serde_json::to_string(&figures).unwrap_or_default(),
+                figures.lost + figures.wrong == 0,
             )
         }),
-        Asked::Sessions(asked) => sessions::run(&asked).map(|line| {
+        Experiment::Sessions(options) => sessions::run(&options).map(|figures| {
             (
-                serde_json::to_string(&line).unwrap_or_default(),
-                line.missing + line.wrong == 0,
+                serde_json::to_string(&figures).unwrap_or_default(),
+                figures.missing + figures.wrong == 0,
             )
         }),
-        Asked::Members(asked) => membership::run(&asked).map(|line| {
-            let kept = line.forks + line.false_gone + line.old_incarnation_believed == 0;
-            (serde_json::to_string(&line).unwrap_or_default(), kept)
+        Experiment::Membership(options) => membership::run(&options).map(|figures| {
+            let passed =
+                figures.forks + figures.late_statuses + figures.old_incarnation_believed == 0;
+            (serde_json::to_string(&figures).unwrap_or_default(), passed)
         }),
-        Asked::Copies(asked) => replication_loss::run(&asked).map(|line| {
-            let kept = line.missing + line.promises_broken == 0 && line.keys_applied_twice == 0;
-            (serde_json::to_string(&line).unwrap_or_default(), kept)
+        Experiment::ReplicationLoss(options) => replication_loss::run(&options).map(|figures| {
+            let passed = figures.missing + figures.quorum_writes_lost == 0
+                && figures.keys_applied_twice == 0;
+            (serde_json::to_string(&figures).unwrap_or_default(), passed)
         }),
-        Asked::Price(asked) => session_overhead::run(&asked).map(|line| {
+        Experiment::SessionOverhead(options) => session_overhead::run(&options).map(|figures| {
             (
-                serde_json::to_string(&line).unwrap_or_default(),
-                line.missing == 0,
+                serde_json::to_string(&figures).unwrap_or_default(),
+                figures.missing == 0,
             )
         }),
     };
-    match line {
-        Ok((line, kept)) => {
+    match outcome {
+        Ok((line, passed)) => {
             println!("{line}");
-            if kept {
+            if passed {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             }
         }
-        Err(why) => {
-            eprintln!("leverpoint-loadtest: {why}");
+        Err(error) => {
+            eprintln!("leverpoint-loadtest: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/loadtest/src/membership.rs
+++ b/crates/loadtest/src/membership.rs
@@ -1,7 +1,9 @@
-//! Owns the experiment with members: a fleet of real processes, faults between and to them one after the other, how long
-//! each takes to be seen, and what the fleet costs as it grows.
+//! Failure detection and the cost of membership: injects faults into the processes and links of a fleet one after the
+//! other, measures how long the other members take to detect each, and what membership costs as the fleet grows.
 //!
-//! It must never take a process's word for another's state: who lives and who was killed is this experiment's own doing.
+//! # Invariants
+//!
+//! Which process is alive follows from the injected faults, never from what another process reports.
 
 use std::error::Error;
 use std::io::Write as _;
@@ -21,341 +23,386 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-use crate::harness::{self, SETTINGS, cpu_s};
+use crate::harness::{self, SETTINGS, cpu_seconds};
 
+/// Options of `run members`.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct Options {
+    /// Number of faults; 0 measures only the cost by fleet size.
     pub faults: usize,
+    /// Small fleets and short measurements.
     pub short: bool,
     pub seed: u64,
+    /// Directory for tables and charts.
     pub out: PathBuf,
+    /// The gateway program; by default the one in the directory of this program.
     pub program: Option<PathBuf>,
 }
 
+/// Results of a run, printed as JSON.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Figures {
     pub processes: usize,
     pub faults: usize,
+    /// Conflicts that members have found between layouts of the same version.
     pub forks: u64,
-    /// Who lived and was still called gone once the bound had passed.
-    pub false_gone: u64,
+    /// Detections of a fault and of a recovery that took longer than [`convergence_bound`], one per observing member.
+    #[serde(rename = "false_gone")]
+    pub late_statuses: u64,
+    /// Status changes that a member reported for an incarnation older than one that it had reported before.
     pub old_incarnation_believed: u64,
+    /// Time until all others have detected a killed, stopped or partitioned member.
     pub detect_ms_p50: f64,
     pub detect_ms_p99: f64,
+    /// Bytes a second that a member of the largest measured fleet sends to the others.
     pub bytes_s_member: f64,
-    /// Of one core, a member of the largest fleet that was measured.
+    /// Share of one core that a member of the largest measured fleet uses.
     pub cpu_share: f64,
-    /// Commands through a member over those through a gateway that is none, in one run.
+    /// p99 latency of requests through a member, divided by that through a gateway without membership in the same run.
     pub p99_ratio: f64,
 }
 
+/// Number of processes in the fleet into which faults are injected.
 const PROCESSES: usize = 6;
-const BEAT_MS: u64 = 100;
+/// Heartbeat interval of the fleet into which faults are injected.
+const HEARTBEAT_MS: u64 = 100;
 
-/// A hundred are taken in one after the other, a beat or two each.
-const TAKEN_IN: Duration = Duration::from_secs(180);
+/// How long the measurement of the cost waits for all members to join the layout: a hundred members join one after the
+/// other, at one or two heartbeats each.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// One size's cost.
+/// Cost of membership at one fleet size.
 struct Cost {
     members: usize,
-    bytes_s: f64,
-    cpu: f64,
+    /// Bytes sent per second and member.
+    bytes_per_s: f64,
+    /// Share of one core per member.
+    cpu_share: f64,
 }
 
-fn build(
+fn fleet_config(
     processes: usize,
-    beat_ms: u64,
+    heartbeat_ms: u64,
     relays: bool,
     members: bool,
-    known: String,
+    known_list: String,
     seed: u64,
 ) -> FleetConfig {
     FleetConfig {
         processes,
         founders: processes.min(3),
-        heartbeat_ms: beat_ms,
+        heartbeat_ms,
         join_delay_ms: None,
         disk: true,
         zones: 3,
         members,
         relays,
         settings: SETTINGS.into(),
-        known_list: known,
+        known_list,
         extra_hcl: String::new(),
         seed,
     }
 }
 
-/// How long all others may take to be seen as they are, by the bounds that the members themselves state.
-fn bound() -> Duration {
-    let beat = BEAT_MS as Ticks * 10;
-    let terms = MembershipConfig {
-        probe_interval: beat,
+/// Time within which every member has to detect a fault or a recovery: the detection and recovery bounds of the
+/// membership protocol.
+fn convergence_bound() -> Duration {
+    let heartbeat = HEARTBEAT_MS as Ticks * 10;
+    let config = MembershipConfig {
+        probe_interval: heartbeat,
         ..MembershipConfig::default()
     };
     Duration::from_micros(
-        (terms.detection_bound(PROCESSES) + terms.recovery_bound(PROCESSES)) as u64 * 100,
+        (config.detection_bound(PROCESSES) + config.recovery_bound(PROCESSES)) as u64 * 100,
     )
 }
 
-/// Waits for each of `who` to see `name` so; the longest, and how many did not come to it within the bound.
-fn all_see(stage: &mut GatewayFleet, who: &[usize], name: &str, how: &str) -> (Duration, u64) {
-    let (began, mut late) = (Instant::now(), 0);
-    for p in who {
-        let come = stage
-            .wait_for_state(*p, |word| word.has_status(name, how))
+/// Waits until each of `observers` reports `status` for the member `name`. Returns the total time, and the number of
+/// observers that did not report it within [`convergence_bound`].
+fn wait_for_status(
+    fleet: &mut GatewayFleet,
+    observers: &[usize],
+    name: &str,
+    status: &str,
+) -> (Duration, u64) {
+    let (started_at, mut late) = (Instant::now(), 0);
+    for p in observers {
+        let reached = fleet
+            .wait_for_state(*p, |state| state.has_status(name, status))
             .is_some();
-        late += u64::from(!come || began.elapsed() > bound());
+        late += u64::from(!reached || started_at.elapsed() > convergence_bound());
     }
-    (began.elapsed(), late)
+    (started_at.elapsed(), late)
 }
 
-/// All see all others here, within the bound.
-fn all_here(stage: &mut GatewayFleet) -> u64 {
+/// Waits until each member reports every other as alive. Returns the number of reports later than [`convergence_bound`].
+fn wait_until_all_alive(fleet: &mut GatewayFleet) -> u64 {
     let all: Vec<usize> = (0..PROCESSES).collect();
-    let names: Vec<String> = all.iter().map(|p| stage.name(*p).to_owned()).collect();
+    let names: Vec<String> = all.iter().map(|p| fleet.name(*p).to_owned()).collect();
     names.iter().enumerate().fold(0, |late, (p, name)| {
         let others: Vec<usize> = all.iter().copied().filter(|other| *other != p).collect();
-        late + all_see(stage, &others, name, "here").1
+        late + wait_for_status(fleet, &others, name, "here").1
     })
 }
 
-fn play(asked: &Asked, program: &Path, figures: &mut Figures) -> Result<(), String> {
-    let known = endpoint_list(7, true, &[]);
-    let mut stage = GatewayFleet::new(
+/// Injects random faults and waits for detection and recovery after each; writes one row of `members.csv` per fault.
+fn inject_faults(options: &Options, program: &Path, figures: &mut Figures) -> Result<(), String> {
+    let known_list = endpoint_list(7, true, &[]);
+    let mut fleet = GatewayFleet::new(
         program,
-        build(PROCESSES, BEAT_MS, true, true, known, asked.seed),
+        fleet_config(
+            PROCESSES,
+            HEARTBEAT_MS,
+            true,
+            true,
+            known_list,
+            options.seed,
+        ),
     );
-    stage.start_all();
+    fleet.start_all();
     let all: Vec<usize> = (0..PROCESSES).collect();
-    stage.wait_for_layout(&all, 2);
-    let mut chance = Rng::with_seed(asked.seed);
-    let mut detected = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    let cut = LinkFaults {
+    fleet.wait_for_layout(&all, 2);
+    let mut rng = Rng::with_seed(options.seed);
+    let mut detection_times = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
+    let partition = LinkFaults {
         partitioned: true,
         ..LinkFaults::default()
     };
     let mut table =
-        csv::Writer::from_path(asked.out.join("members.csv")).map_err(|e| e.to_string())?;
+        csv::Writer::from_path(options.out.join("members.csv")).map_err(|e| e.to_string())?;
     table
         .write_record(["fault", "kind", "ms", "late"])
         .map_err(|e| e.to_string())?;
-    for fault in 0..asked.faults {
-        let p = chance.usize(..PROCESSES);
+    for fault in 0..options.faults {
+        let p = rng.usize(..PROCESSES);
         let others: Vec<usize> = all.iter().copied().filter(|other| *other != p).collect();
-        let name = stage.name(p).to_owned();
-        let kind = chance.usize(..7);
-        let (took, mut late) = match kind {
+        let name = fleet.name(p).to_owned();
+        let kind = rng.usize(..7);
+        let (elapsed, mut late) = match kind {
             0 | 1 => {
                 if kind == 0 {
-                    stage.kill(p);
+                    fleet.kill(p);
                 } else {
-                    stage.kill_and_erase(p);
+                    fleet.kill_and_erase(p);
                 }
-                let seen = all_see(&mut stage, &others, &name, "gone");
-                stage.start(p);
-                seen
+                let observation = wait_for_status(&mut fleet, &others, &name, "gone");
+                fleet.start(p);
+                observation
             }
             2 => {
-                stage.signal(p, "-STOP");
-                let seen = all_see(&mut stage, &others, &name, "gone");
-                stage.signal(p, "-CONT");
-                seen
+                fleet.signal(p, "-STOP");
+                let observation = wait_for_status(&mut fleet, &others, &name, "gone");
+                fleet.signal(p, "-CONT");
+                observation
             }
             3 => {
-                stage.set_faults_between(&[p], &others, cut);
-                let seen = all_see(&mut stage, &others, &name, "gone");
-                stage.clear_faults();
-                seen
+                fleet.set_faults_between(&[p], &others, partition);
+                let observation = wait_for_status(&mut fleet, &others, &name, "gone");
+                fleet.clear_faults();
+                observation
             }
             4 => {
                 let (one, other) = all.split_at(PROCESSES / 2);
-                stage.set_faults_between(one, other, cut);
-                let last = stage.name(other[0]).to_owned();
-                let seen = all_see(&mut stage, one, &last, "gone");
-                stage.clear_faults();
-                seen
+                fleet.set_faults_between(one, other, partition);
+                let last = fleet.name(other[0]).to_owned();
+                let observation = wait_for_status(&mut fleet, one, &last, "gone");
+                fleet.clear_faults();
+                observation
             }
             5 => {
-                stage.shut_down(p);
-                let seen = all_see(&mut stage, &others, &name, "left");
-                stage.start(p);
-                (Duration::ZERO, seen.1)
+                fleet.shut_down(p);
+                let observation = wait_for_status(&mut fleet, &others, &name, "left");
+                fleet.start(p);
+                (Duration::ZERO, observation.1)
             }
             _ => {
-                let rough = LinkFaults {
+                let lossy = LinkFaults {
                     loss: 0.3,
                     duplication: 0.2,
                     reorder: 0.2,
                     corruption: 0.02,
                     ..LinkFaults::default()
                 };
-                stage.set_faults_between(&all, &all, rough);
-                sleep(Duration::from_millis(20 * BEAT_MS));
-                stage.clear_faults();
+                fleet.set_faults_between(&all, &all, lossy);
+                sleep(Duration::from_millis(20 * HEARTBEAT_MS));
+                fleet.clear_faults();
                 (Duration::ZERO, 0)
             }
         };
         if kind <= 4 {
-            let _ = detected.record(took.as_millis() as u64);
+            let _ = detection_times.record(elapsed.as_millis() as u64);
         }
-        late += all_here(&mut stage);
-        figures.false_gone += late;
+        late += wait_until_all_alive(&mut fleet);
+        figures.late_statuses += late;
         figures.faults += 1;
-        let kinds = [
+        let fault_names = [
             "killed", "burnt", "stopped", "cut off", "halved", "ended", "rough",
         ];
         let row = [
             fault.to_string(),
-            kinds[kind].into(),
-            took.as_millis().to_string(),
+            fault_names[kind].into(),
+            elapsed.as_millis().to_string(),
             late.to_string(),
         ];
         table.write_record(row).map_err(|e| e.to_string())?;
         if fault % 20 == 19 {
-            eprintln!("{} faults played", fault + 1);
+            eprintln!("{} faults injected", fault + 1);
         }
-        // A life's own counts end with it, so they are added up before the next fault.
+        // Counters start from zero when a process restarts, so they are read before the next fault.
         let forks: u64 = all
             .iter()
-            .map(|p| stage.observed(*p).layout_conflicts)
+            .map(|p| fleet.observed(*p).layout_conflicts)
             .sum();
-        let old: u64 = all.iter().map(|p| stage.observed(*p).stale_statuses).sum();
+        let stale: u64 = all.iter().map(|p| fleet.observed(*p).stale_statuses).sum();
         figures.forks = figures.forks.max(forks);
-        figures.old_incarnation_believed = figures.old_incarnation_believed.max(old);
+        figures.old_incarnation_believed = figures.old_incarnation_believed.max(stale);
     }
     table.flush().map_err(|e| e.to_string())?;
     figures.forks += all
         .iter()
-        .map(|p| stage.member_counter(*p, "forks"))
+        .map(|p| fleet.member_counter(*p, "forks"))
         .sum::<u64>();
-    figures.detect_ms_p50 = detected.value_at_quantile(0.5) as f64;
-    figures.detect_ms_p99 = detected.value_at_quantile(0.99) as f64;
+    figures.detect_ms_p50 = detection_times.value_at_quantile(0.5) as f64;
+    figures.detect_ms_p99 = detection_times.value_at_quantile(0.99) as f64;
     Ok(())
 }
 
-/// What a quiet fleet of so many costs a member, at the usual beat.
-fn cost(asked: &Asked, program: &Path, members: usize) -> Cost {
-    let known = endpoint_list(7, true, &[]);
-    let mut stage = GatewayFleet::new(program, build(members, 500, false, true, known, asked.seed));
-    stage.start_all();
+/// Measures the cost per member of an idle fleet of `members` processes, at a heartbeat interval of 500 ms.
+fn measure_cost(options: &Options, program: &Path, members: usize) -> Cost {
+    let known_list = endpoint_list(7, true, &[]);
+    let mut fleet = GatewayFleet::new(
+        program,
+        fleet_config(members, 500, false, true, known_list, options.seed),
+    );
+    fleet.start_all();
     for p in 0..members {
-        stage.expect_state(p, "all are known", |word| {
-            word.count_with_status("here") >= members - 1
+        fleet.expect_state(p, "all members are known", |state| {
+            state.count_with_status("here") >= members - 1
         });
     }
-    // What begins with a fleet is over: the votes on each new holder, greetings of first connections, news.
-    let began = Instant::now();
-    while stage.observed(0).holder_count < members as u64 && began.elapsed() < TAKEN_IN {
-        let _ = stage.wait_for_state(0, |word| word.holder_count >= members as u64);
+    // Excludes the startup from the measurement: the votes on each new replica holder, the handshakes of first connections
+    // and the first spread of statuses.
+    let started_at = Instant::now();
+    while fleet.observed(0).holder_count < members as u64 && started_at.elapsed() < JOIN_TIMEOUT {
+        let _ = fleet.wait_for_state(0, |state| state.holder_count >= members as u64);
     }
     eprintln!(
-        "{members} members hold a layout after {:.1} s",
-        began.elapsed().as_secs_f64()
+        "all {members} members are in the layout after {:.1} s",
+        started_at.elapsed().as_secs_f64()
     );
-    sleep(Duration::from_secs(if asked.short { 3 } else { 20 }));
-    let some: Vec<usize> = (0..members).step_by(members.div_ceil(10)).collect();
-    let look = |stage: &mut GatewayFleet| -> (f64, f64) {
-        let bytes: u64 = some
+    sleep(Duration::from_secs(if options.short { 3 } else { 20 }));
+    let sampled: Vec<usize> = (0..members).step_by(members.div_ceil(10)).collect();
+    let sample = |fleet: &mut GatewayFleet| -> (f64, f64) {
+        let bytes: u64 = sampled
             .iter()
-            .map(|p| stage.member_counter(*p, "link.sent_bytes"))
+            .map(|p| fleet.member_counter(*p, "link.sent_bytes"))
             .sum();
-        let cpu: f64 = (0..members)
-            .map(|p| cpu_s(stage.gateway(p).child.id()))
+        let cpu_s: f64 = (0..members)
+            .map(|p| cpu_seconds(fleet.gateway(p).child.id()))
             .sum();
-        (bytes as f64 / some.len() as f64, cpu / members as f64)
+        (bytes as f64 / sampled.len() as f64, cpu_s / members as f64)
     };
-    let (bytes, cpu) = look(&mut stage);
-    let began = Instant::now();
-    sleep(Duration::from_secs(if asked.short { 5 } else { 20 }));
-    let (bytes_after, cpu_after) = look(&mut stage);
-    let span = began.elapsed().as_secs_f64();
+    let (bytes, cpu_s) = sample(&mut fleet);
+    let started_at = Instant::now();
+    sleep(Duration::from_secs(if options.short { 5 } else { 20 }));
+    let (bytes_after, cpu_s_after) = sample(&mut fleet);
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     Cost {
         members,
-        bytes_s: (bytes_after - bytes) / span,
-        cpu: (cpu_after - cpu) / span,
+        bytes_per_s: (bytes_after - bytes) / elapsed_s,
+        cpu_share: (cpu_s_after - cpu_s) / elapsed_s,
     }
 }
 
-/// Commands through a gateway that is a member and through one that is none, in turns.
-fn beside(asked: &Asked, program: &Path) -> Result<f64, String> {
-    let (_set, _members, known) = start_replica_set(IDEAL_SET, 3, Duration::from_millis(2));
-    let stages: Vec<GatewayFleet> = [true, false]
+/// Sends requests alternately through a gateway with membership and one without, and returns the ratio of their p99
+/// latencies.
+fn compare_latency(options: &Options, program: &Path) -> Result<f64, String> {
+    let (_set, _members, known_list) = start_replica_set(IDEAL_SET, 3, Duration::from_millis(2));
+    let fleets: Vec<GatewayFleet> = [true, false]
         .into_iter()
         .map(|on| {
-            let mut stage =
-                GatewayFleet::new(program, build(5, 500, false, on, known.clone(), asked.seed));
-            stage.start_all();
+            let mut fleet = GatewayFleet::new(
+                program,
+                fleet_config(5, 500, false, on, known_list.clone(), options.seed),
+            );
+            fleet.start_all();
             if on {
-                stage.wait_for_layout(&[0, 1, 2, 3, 4], 2);
+                fleet.wait_for_layout(&[0, 1, 2, 3, 4], 2);
             }
-            stage
+            fleet
         })
         .collect();
-    let mut times = [(); 2].map(|()| Histogram::<u64>::new(3).expect("three digits"));
-    let mut lines: Vec<_> = stages
+    let mut latencies =
+        [(); 2].map(|()| Histogram::<u64>::new(3).expect("valid histogram precision"));
+    let mut connections: Vec<_> = fleets
         .iter()
-        .map(|stage| harness::connect(&stage.gateway(0).address))
+        .map(|fleet| harness::connect(&fleet.gateway(0).address))
         .collect::<Option<_>>()
-        .ok_or("no line")?;
-    let rounds = if asked.short { 3_000 } else { 20_000 };
+        .ok_or("cannot connect to a gateway")?;
+    let rounds = if options.short { 3_000 } else { 20_000 };
     for n in 0..rounds {
-        for (which, line) in lines.iter_mut().enumerate() {
-            let id = format!("b{n}x{which}");
+        for (index, connection) in connections.iter_mut().enumerate() {
+            let id = format!("b{n}x{index}");
             let text = format!(
                 "SELECT v FROM records WHERE k = '64-p' /* id={id},c=view,t=honest,d=2000,cluster=2 */"
             );
-            let began = Instant::now();
-            let heard = harness::ask(line, &text).ok_or("a connection ended")?;
-            if classify_response(&heard, &expected_value(&id, 64)) != ResponseOutcome::Answered {
-                return Err(format!("{id} was not answered"));
+            let started_at = Instant::now();
+            let response =
+                harness::send_query(connection, &text).ok_or("the gateway closed a connection")?;
+            if classify_response(&response, &expected_value(&id, 64)) != ResponseOutcome::Answered {
+                return Err(format!("request {id} was not answered"));
             }
-            let _ = times[which].record(began.elapsed().as_micros() as u64);
+            let _ = latencies[index].record(started_at.elapsed().as_micros() as u64);
         }
     }
-    let p99 = |which: usize| times[which].value_at_quantile(0.99) as f64;
+    let p99 = |index: usize| latencies[index].value_at_quantile(0.99) as f64;
     eprintln!(
-        "commands' p99 through a member {} us, through none {} us",
+        "request p99: {} us through a member, {} us through a gateway without membership",
         p99(0),
         p99(1)
     );
     Ok(p99(0) / p99(1))
 }
 
+/// Draws the cost per member by fleet size.
 fn chart(path: &Path, costs: &[Cost]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (800, 400)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = costs.iter().map(|c| c.bytes_s).fold(1.0, f64::max) * 1.2;
-    let cpu = costs.iter().map(|c| c.cpu * 100.0).fold(0.01, f64::max) * 1.2;
+    let max_bytes_per_s = costs.iter().map(|c| c.bytes_per_s).fold(1.0, f64::max) * 1.2;
+    let max_cpu_percent = costs
+        .iter()
+        .map(|c| c.cpu_share * 100.0)
+        .fold(0.01, f64::max)
+        * 1.2;
     let last = costs.last().map_or(3.0, |c| c.members as f64);
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(60)
         .right_y_label_area_size(60)
-        .build_cartesian_2d((2.0..last).log_scale(), 0.0..most)?
-        .set_secondary_coord((2.0..last).log_scale(), 0.0..cpu);
+        .build_cartesian_2d((2.0..last).log_scale(), 0.0..max_bytes_per_s)?
+        .set_secondary_coord((2.0..last).log_scale(), 0.0..max_cpu_percent);
     chart
         .configure_mesh()
         .x_desc("members")
-        .y_desc("bytes a second, each")
+        .y_desc("bytes/s per member")
         .draw()?;
     chart
         .configure_secondary_axes()
-        .y_desc("percent of a core, each")
+        .y_desc("percent of a core per member")
         .draw()?;
-    let points = |of: &dyn Fn(&Cost) -> f64| {
+    let points = |value: &dyn Fn(&Cost) -> f64| {
         costs
             .iter()
-            .map(|c| (c.members as f64, of(c)))
+            .map(|c| (c.members as f64, value(c)))
             .collect::<Vec<_>>()
     };
     let key = |colour: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour);
     chart
-        .draw_series(LineSeries::new(points(&|c| c.bytes_s), &BLUE))?
+        .draw_series(LineSeries::new(points(&|c| c.bytes_per_s), &BLUE))?
         .label("bytes")
         .legend(key(BLUE));
-    let cpus = LineSeries::new(points(&|c| c.cpu * 100.0), &RED);
+    let cpus = LineSeries::new(points(&|c| c.cpu_share * 100.0), &RED);
     chart
         .draw_secondary_series(cpus)?
         .label("CPU")
@@ -365,44 +412,49 @@
     Ok(())
 }
 
-pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = harness::program(&asked.program)?;
-    std::fs::create_dir_all(&asked.out).map_err(|e| e.to_string())?;
+/// Injects the faults, compares latencies, measures the cost by fleet size and writes the tables and the chart.
+///
+/// # Errors
+///
+/// Returns a message if the gateway program is missing, a request fails or an output file cannot be written.
+pub(crate) fn run(options: &Options) -> Result<Figures, String> {
+    let program = harness::gateway_binary(&options.program)?;
+    std::fs::create_dir_all(&options.out).map_err(|e| e.to_string())?;
     let mut figures = Figures {
         processes: PROCESSES,
         ..Figures::default()
     };
-    if asked.faults > 0 {
-        play(asked, &program, &mut figures)?;
-        figures.p99_ratio = beside(asked, &program)?;
+    if options.faults > 0 {
+        inject_faults(options, &program, &mut figures)?;
+        figures.p99_ratio = compare_latency(options, &program)?;
     }
-    let sizes: &[usize] = if asked.short {
+    let sizes: &[usize] = if options.short {
         &[3, 10]
     } else {
         &[3, 10, 30, 100]
     };
     let costs: Vec<Cost> = sizes
         .iter()
-        .map(|members| cost(asked, &program, *members))
+        .map(|members| measure_cost(options, &program, *members))
         .collect();
     let mut table =
-        std::fs::File::create(asked.out.join("members-cost.csv")).map_err(|e| e.to_string())?;
+        std::fs::File::create(options.out.join("members-cost.csv")).map_err(|e| e.to_string())?;
     let _ = writeln!(table, "members,bytes_s,cpu_share");
     for Cost {
         members,
-        bytes_s,
-        cpu,
+        bytes_per_s,
+        cpu_share,
     } in &costs
     {
         eprintln!(
-            "{members} members: {bytes_s:.0} bytes/s and {:.3} % of a core each",
-            cpu * 100.0
+            "{members} members: {bytes_per_s:.0} bytes/s and {:.3} % of a core per member",
+            cpu_share * 100.0
         );
-        let _ = writeln!(table, "{members},{bytes_s},{cpu}");
+        let _ = writeln!(table, "{members},{bytes_per_s},{cpu_share}");
     }
-    chart(&asked.out.join("members-cost.svg"), &costs).map_err(|e| e.to_string())?;
+    chart(&options.out.join("members-cost.svg"), &costs).map_err(|e| e.to_string())?;
     if let Some(last) = costs.last() {
-        (figures.bytes_s_member, figures.cpu_share) = (last.bytes_s, last.cpu);
+        (figures.bytes_s_member, figures.cpu_share) = (last.bytes_per_s, last.cpu_share);
     }
     Ok(figures)
 }
--- a/crates/loadtest/src/open_loop.rs
+++ b/crates/loadtest/src/open_loop.rs
@@ -1,6 +1,12 @@
-//! Owns the honest clients: each asks at moments set beforehand, reads at once and comes back when it is told.
+//! Well-behaved clients that generate an open-loop load: requests are due at random intervals, whatever the response
+//! times. Each client reads responses without delay and retries when the gateway tells it to.
 //!
-//! A command's time counts from the moment it was due, retries included. It must never skip a command that is due.
+//! A client runs one request at a time, so a slow response delays the requests due after it. Latency is therefore
+//! counted from the time a request was due, retries included.
+//!
+//! # Invariants
+//!
+//! No due request is skipped, except at the end of a period.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,134 +21,155 @@
 use leverpoint_test_support::values::expected_value;
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, query_message};
 
-use crate::measurements::Record;
+use crate::measurements::Measurements;
 
-/// How long an honest client waits for an answer.
-pub(crate) const TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Each asks ten commands a second on the mean: a scorekeeping app at a round's close.
-const BETWEEN_S: f64 = 0.1;
-/// A client that was told no time waits so long.
-const COMES_BACK: Duration = Duration::from_millis(50);
+/// How long a client waits for a response, from the time that the request is due, and for a TCP connection.
+pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Mean interval between the requests of one client, in seconds: ten requests a second, the rate of a scorekeeping app at
+/// the end of a round.
+const MEAN_INTERVAL_S: f64 = 0.1;
+/// Delay before a retry if the error names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What honest clients ask: command group, bytes of the answer, how often of twenty.
-const ASKS: [(&str, usize, u8); 4] = [
+/// Request mix: request class, length of the value in bytes, and weight out of 20.
+const REQUEST_MIX: [(&str, usize, u8); 4] = [
     ("view", 300, 10),
     ("view", 8 << 10, 3),
     ("own", 300, 4),
     ("report", 64, 3),
 ];
 
-/// Whether what was heard is an error, whole, that says to try again.
-fn sent_back(heard: &[u8]) -> bool {
-    let length = heard
+/// Whether `response` is a complete error response that asks for a retry.
+fn is_throttled_response(response: &[u8]) -> bool {
+    let length = response
         .get(1..5)
         .map_or(0, |l| u32::from_be_bytes([l[0], l[1], l[2], l[3]]) as usize);
-    heard.len() > length && matches!(classify_response(heard, b""), ResponseOutcome::Throttled(_))
+    response.len() > length
+        && matches!(
+            classify_response(response, b""),
+            ResponseOutcome::Throttled(_)
+        )
 }
 
-/// Clients at work in one period; what they have measured comes when they are asked for it.
-pub(crate) struct Honest {
+/// The running clients of one period, one thread each.
+pub(crate) struct OpenLoopClients {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<(Record, Line)>>,
+    threads: Vec<JoinHandle<(Measurements, OpenLoopClient)>>,
 }
 
-/// A client's connection and chance, which go on from period to period.
-pub(crate) struct Line {
-    to: SocketAddr,
+/// State of a client, which is kept from period to period.
+pub(crate) struct OpenLoopClient {
+    address: SocketAddr,
     stream: Option<TcpStream>,
-    chance: Rng,
+    rng: Rng,
     name: String,
-    next: u64,
+    next_id: u64,
 }
 
-impl Line {
-    pub(crate) fn new(to: SocketAddr, name: String, seed: u64) -> Line {
-        Line {
-            to,
+impl OpenLoopClient {
+    pub(crate) fn new(address: SocketAddr, name: String, seed: u64) -> OpenLoopClient {
+        OpenLoopClient {
+            address,
             stream: None,
-            chance: Rng::with_seed(seed),
+            rng: Rng::with_seed(seed),
             name,
-            next: 0,
+            next_id: 0,
         }
     }
 }
 
-impl Honest {
-    pub(crate) fn start(lines: Vec<Line>, began: Instant, seconds: usize) -> Honest {
+impl OpenLoopClients {
+    /// Starts a thread for each client. Times of responses are relative to `started_at`; `seconds` is the length of the
+    /// period.
+    pub(crate) fn start(
+        clients: Vec<OpenLoopClient>,
+        started_at: Instant,
+        seconds: usize,
+    ) -> OpenLoopClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let thread = |mut line: Line| {
+        let spawn_client = |mut client: OpenLoopClient| {
             let stop = stop.clone();
-            let work = move || {
-                let mut record = Record::new(seconds);
-                line.period(&stop, began, &mut record);
-                (record, line)
+            let run = move || {
+                let mut measurements = Measurements::new(seconds);
+                client.run_period(&stop, started_at, &mut measurements);
+                (measurements, client)
             };
             thread::Builder::new()
                 .stack_size(256 << 10)
-                .spawn(work)
-                .expect("a thread")
+                .spawn(run)
+                .expect("spawn a client thread")
         };
-        let threads = lines.into_iter().map(thread).collect();
-        Honest { stop, threads }
+        let threads = clients.into_iter().map(spawn_client).collect();
+        OpenLoopClients { stop, threads }
     }
 
-    /// Ends the period: what was measured, and the clients for the next.
-    pub(crate) fn end(self) -> (Record, Vec<Line>) {
+    /// Ends the period once each client has finished its current request. Returns the combined measurements, and the clients
+    /// for the next period.
+    pub(crate) fn end(self) -> (Measurements, Vec<OpenLoopClient>) {
         self.stop.store(true, Relaxed);
-        let mut all = Record::new(0);
-        let lines = self.threads.into_iter().map(|thread| {
-            let (record, line) = thread.join().expect("an honest client ends by itself");
-            all.join(&record);
-            line
+        let mut all = Measurements::new(0);
+        let clients = self.threads.into_iter().map(|thread| {
+            let (measurements, client) = thread.join().expect("client thread panicked");
+            all.merge(&measurements);
+            client
         });
-        let lines = lines.collect();
-        (all, lines)
+        let clients = clients.collect();
+        (all, clients)
     }
 }
 
-impl Line {
-    fn period(&mut self, stop: &AtomicBool, began: Instant, record: &mut Record) {
+impl OpenLoopClient {
+    /// Runs requests at exponentially distributed intervals until `stop` is set.
+    fn run_period(
+        &mut self,
+        stop: &AtomicBool,
+        started_at: Instant,
+        measurements: &mut Measurements,
+    ) {
         let mut due = Instant::now();
         loop {
-            due += Duration::from_secs_f64(-BETWEEN_S * (1.0 - self.chance.f64()).ln());
+            due += Duration::from_secs_f64(-MEAN_INTERVAL_S * (1.0 - self.rng.f64()).ln());
             sleep(due.saturating_duration_since(Instant::now()));
             if stop.load(Relaxed) {
                 return;
             }
-            self.command(due, began, record);
+            self.run_request(due, started_at, measurements);
         }
     }
 
-    /// One command to its end, as often as it is told to come again.
-    fn command(&mut self, due: Instant, began: Instant, record: &mut Record) {
-        record.asked += 1;
-        let mut pick = self.chance.u8(..20);
-        let kind = ASKS.iter().position(|(.., often)| {
-            let found = pick < *often;
-            pick = pick.wrapping_sub(*often);
-            found
+    /// Runs one request, with retries, until it is answered or fails or [`CLIENT_TIMEOUT`] is over.
+    fn run_request(&mut self, due: Instant, started_at: Instant, measurements: &mut Measurements) {
+        measurements.requests += 1;
+        let mut pick = self.rng.u8(..20);
+        let kind = REQUEST_MIX.iter().position(|(.., weight)| {
+            let matches_pick = pick < *weight;
+            pick = pick.wrapping_sub(*weight);
+            matches_pick
         });
         let kind = kind.unwrap_or(0);
-        let (group, length, _) = &ASKS[kind];
-        let ends = due + TIMEOUT;
-        self.next += 1;
-        let key = format!("{}k{}", self.name, self.next);
-        let mut crossed = false;
+        let (request_class, length, _) = &REQUEST_MIX[kind];
+        let deadline = due + CLIENT_TIMEOUT;
+        self.next_id += 1;
+        let idempotency_key = format!("{}k{}", self.name, self.next_id);
+        let mut resent = false;
         loop {
-            self.next += 1;
-            let id = format!("{}c{}", self.name, self.next);
-            let wait = ends.saturating_duration_since(Instant::now()).as_millis();
-            if wait == 0 {
-                record.failed += 1;
+            self.next_id += 1;
+            let id = format!("{}c{}", self.name, self.next_id);
+            let timeout_ms = deadline
+                .saturating_duration_since(Instant::now())
+                .as_millis();
+            if timeout_ms == 0 {
+                measurements.failed += 1;
                 return;
             }
-            let comment =
-                |more: &str| format!("/* id={id},c={group},t=honest,d={wait}{more},cluster=2 */");
-            let text = if *group == "report" {
+            let comment = |extra: &str| {
+                format!("/* id={id},c={request_class},t=honest,d={timeout_ms}{extra},cluster=2 */")
+            };
+            let text = if *request_class == "report" {
                 format!(
                     "INSERT INTO records (k, v) VALUES ('s-{}', '\\x9f') RETURNING v {}",
                     self.name,
-                    comment(&format!(",k={key}"))
+                    comment(&format!(",k={idempotency_key}"))
                 )
             } else {
                 format!(
@@ -151,46 +178,53 @@
                     comment("")
                 )
             };
-            let mut heard = Vec::new();
-            match self.ask(&text, ends, &mut heard) {
-                Ok(()) => match classify_response(&heard, &expected_value(&id, *length)) {
+            let mut response = Vec::new();
+            match self.send_query(&text, deadline, &mut response) {
+                Ok(()) => match classify_response(&response, &expected_value(&id, *length)) {
                     ResponseOutcome::Answered => {
-                        let at_ms = began.elapsed().as_millis() as u64;
-                        return record.answered(at_ms, due.elapsed().as_micros() as u64, kind);
+                        let at_ms = started_at.elapsed().as_millis() as u64;
+                        return measurements.answered(
+                            at_ms,
+                            due.elapsed().as_micros() as u64,
+                            kind,
+                        );
                     }
                     ResponseOutcome::Wrong => {
-                        record.wrong += 1;
+                        measurements.wrong += 1;
                         return;
                     }
                     ResponseOutcome::Throttled(ms) => {
-                        record.throttled += 1;
+                        measurements.throttled += 1;
                         let pause = if ms == 0 {
-                            COMES_BACK
+                            DEFAULT_RETRY_DELAY
                         } else {
                             Duration::from_millis(ms)
                         };
-                        sleep(pause.min(ends.saturating_duration_since(Instant::now())));
+                        sleep(pause.min(deadline.saturating_duration_since(Instant::now())));
                     }
                     ResponseOutcome::Failed => {
-                        record.failed += 1;
+                        measurements.failed += 1;
                         return;
                     }
                 },
-                // An error with which the connection ends is a whole answer.
-                Err(_) if heard.starts_with(b"E") && sent_back(&heard) => {
+                // An error response after which the gateway closes the connection has no ReadyForQuery.
+                Err(_) if response.starts_with(b"E") && is_throttled_response(&response) => {
                     self.stream = None;
-                    record.throttled += 1;
-                    sleep(COMES_BACK.min(ends.saturating_duration_since(Instant::now())));
+                    measurements.throttled += 1;
+                    sleep(
+                        DEFAULT_RETRY_DELAY.min(deadline.saturating_duration_since(Instant::now())),
+                    );
                 }
                 Err(e) => {
                     self.stream = None;
-                    if Instant::now() >= ends || e.kind() == io::ErrorKind::TimedOut {
-                        record.failed += 1;
+                    if Instant::now() >= deadline || e.kind() == io::ErrorKind::TimedOut {
+                        measurements.failed += 1;
                         return;
                     }
-                    // It may have crossed the connection's end: once more on another, as the protocol says.
-                    if !heard.is_empty() || std::mem::replace(&mut crossed, true) {
-                        record.lost += 1;
+                    // The gateway may have closed the idle connection while the request was under way: the protocol allows
+                    // one retry on another connection.
+                    if !response.is_empty() || std::mem::replace(&mut resent, true) {
+                        measurements.lost += 1;
                         return;
                     }
                 }
@@ -198,33 +232,44 @@
         }
     }
 
-    /// Asks on the connection there is, or on a new one, and reads up to ReadyForQuery.
-    fn ask(&mut self, text: &str, ends: Instant, heard: &mut Vec<u8>) -> io::Result<()> {
+    /// Sends a query on the open connection, or on a new one, and reads the response up to ReadyForQuery.
+    fn send_query(
+        &mut self,
+        text: &str,
+        deadline: Instant,
+        response: &mut Vec<u8>,
+    ) -> io::Result<()> {
         if self.stream.is_none() {
-            let stream = TcpStream::connect_timeout(&self.to, TIMEOUT)?;
+            let stream = TcpStream::connect_timeout(&self.address, CLIENT_TIMEOUT)?;
             stream.set_nodelay(true)?;
             self.stream = Some(stream);
-            self.hear(STARTUP_MESSAGE, ends, heard)?;
-            heard.clear();
+            self.exchange(STARTUP_MESSAGE, deadline, response)?;
+            response.clear();
         }
-        self.hear(&query_message(text), ends, heard)
+        self.exchange(&query_message(text), deadline, response)
     }
 
-    fn hear(&mut self, says: &[u8], ends: Instant, heard: &mut Vec<u8>) -> io::Result<()> {
+    /// Writes `message` and appends what is received to `response` up to an idle ReadyForQuery, or until `deadline`.
+    fn exchange(
+        &mut self,
+        message: &[u8],
+        deadline: Instant,
+        response: &mut Vec<u8>,
+    ) -> io::Result<()> {
         let Some(stream) = &mut self.stream else {
             return Err(io::ErrorKind::NotConnected.into());
         };
-        stream.write_all(says)?;
+        stream.write_all(message)?;
         let mut bytes = [0; 16 << 10];
-        while !heard.ends_with(b"Z\0\0\0\x05I") {
-            let left = ends.saturating_duration_since(Instant::now());
+        while !response.ends_with(b"Z\0\0\0\x05I") {
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(io::ErrorKind::TimedOut.into());
             }
             stream.set_read_timeout(Some(left))?;
             match stream.read(&mut bytes) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => heard.extend_from_slice(&bytes[..n]),
+                Ok(n) => response.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     return Err(io::ErrorKind::TimedOut.into());
                 }
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -1,6 +1,8 @@
-//! Owns what is kept of a run: a table of its periods, a summary to read, a chart.
+//! Output files of the experiment with slow peers: a table of the periods, the slowest requests, a summary and a chart.
 //!
-//! It must never round a figure in the table.
+//! # Invariants
+//!
+//! Values in the CSV tables are not rounded.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -9,33 +11,40 @@
 use leverpoint_test_support::slow_clients::ClientCounters;
 use plotters::prelude::*;
 
-use crate::measurements::{Asked, Figures, Record};
+use crate::measurements::{Figures, Measurements, Options};
 
-const PERCENTS: [f64; 4] = [50.0, 90.0, 99.0, 99.9];
+const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 99.9];
 
+/// Writes all files into the output directory. `peers` is the gateway's log line with the counters of its peers.
 pub(crate) fn write(
-    asked: &Asked,
-    periods: &[(bool, Record)],
+    options: &Options,
+    periods: &[(bool, Measurements)],
     figures: &Figures,
-    seen: &ClientCounters,
+    counters: &ClientCounters,
     peers: &str,
 ) -> Result<(), Box<dyn Error>> {
-    let name = if asked.without {
+    let name = if options.without_pace {
         "slow-without-pace"
     } else {
         "slow"
     };
-    let file = |ending: &str| {
-        asked.out.join(format!(
-            "{name}-{}-{}.{ending}",
-            asked.readers, asked.sockets
+    let file = |extension: &str| {
+        options.out.join(format!(
+            "{name}-{}-{}.{extension}",
+            options.readers, options.sockets
         ))
     };
     table(csv::Writer::from_path(file("csv"))?, periods)?;
-    std::fs::write(file("md"), summary(asked, periods, figures, seen, peers)?)?;
+    std::fs::write(
+        file("md"),
+        summary(options, periods, figures, counters, peers)?,
+    )?;
     tail(csv::Writer::from_path(file("tail.csv"))?, periods)?;
     chart(&file("svg"), periods)?;
-    eprintln!("written: {}, beside it .md and .svg", file("csv").display());
+    eprintln!(
+        "wrote {} and the .tail.csv, .md and .svg files of the same name",
+        file("csv").display()
+    );
     Ok(())
 }
 
@@ -45,7 +54,7 @@
 
 fn table(
     mut out: csv::Writer<std::fs::File>,
-    periods: &[(bool, Record)],
+    periods: &[(bool, Measurements)],
 ) -> Result<(), Box<dyn Error>> {
     out.write_record([
         "period",
@@ -64,53 +73,64 @@
         "worst_second_answers",
     ])?;
     for (n, (slow, r)) in periods.iter().enumerate() {
-        let counts = [r.asked, r.answered, r.throttled, r.failed, r.lost, r.wrong];
+        let counts = [
+            r.requests,
+            r.answered,
+            r.throttled,
+            r.failed,
+            r.lost,
+            r.wrong,
+        ];
         let mut row = vec![n.to_string(), kind(*slow).to_owned()];
         row.extend(counts.iter().map(u64::to_string));
-        row.extend(PERCENTS.iter().map(|p| r.ms(*p).to_string()));
-        row.push((r.took_us.max() as f64 / 1e3).to_string());
-        row.push(r.seconds.iter().min().unwrap_or(&0).to_string());
+        row.extend(PERCENTILES.iter().map(|p| r.percentile_ms(*p).to_string()));
+        row.push((r.latency_us.max() as f64 / 1e3).to_string());
+        row.push(r.answers_by_second.iter().min().unwrap_or(&0).to_string());
         out.write_record(row)?;
     }
     Ok(out.flush()?)
 }
 
-/// Each honest command that took long, to see when that was.
+/// Writes the individually recorded slow requests of the well-behaved clients, ordered by time within each period.
 fn tail(
     mut out: csv::Writer<std::fs::File>,
-    periods: &[(bool, Record)],
+    periods: &[(bool, Measurements)],
 ) -> Result<(), Box<dyn Error>> {
     out.write_record(["period", "at_ms", "took_us", "kind"])?;
-    for (n, (_, record)) in periods.iter().enumerate() {
-        let mut tail = record.tail.clone();
+    for (n, (_, measurements)) in periods.iter().enumerate() {
+        let mut tail = measurements.tail.clone();
         tail.sort_unstable();
-        for (at, took, kind) in tail {
-            out.write_record([n as u64, at, took, kind as u64].map(|n| n.to_string()))?;
+        for (at, latency_us, kind) in tail {
+            out.write_record([n as u64, at, latency_us, kind as u64].map(|n| n.to_string()))?;
         }
     }
     Ok(out.flush()?)
 }
 
 fn summary(
-    asked: &Asked,
-    periods: &[(bool, Record)],
+    options: &Options,
+    periods: &[(bool, Measurements)],
     figures: &Figures,
-    seen: &ClientCounters,
+    counters: &ClientCounters,
     peers: &str,
 ) -> Result<String, std::fmt::Error> {
     let mut out = String::from(
-        "# Slow peers beside honest clients\n\nOn sockets, stand-ins of this repository. ",
+        "# Slow peers beside well-behaved clients\n\nOver sockets, with the simulated servers and clients of this repository. ",
     );
     writeln!(
         out,
-        "{} slow readers, {} slow writers, {} trickling servers; {} MiB, {} descriptors; seed {}{}.\n",
-        asked.readers,
-        asked.writers,
-        asked.tricklers,
-        asked.memory_mb,
-        asked.sockets,
-        asked.seed,
-        if asked.without { "; caps off" } else { "" }
+        "{} slow readers, {} slow writers, {} slow servers; {} MiB, {} file descriptors; seed {}{}.\n",
+        options.readers,
+        options.writers,
+        options.tricklers,
+        options.memory_mb,
+        options.sockets,
+        options.seed,
+        if options.without_pace {
+            "; limits on slow peers off"
+        } else {
+            ""
+        }
     )?;
     writeln!(
         out,
@@ -125,50 +145,50 @@
             out,
             "| {} | {} | {} | {} | {} | {:.2} | {:.2} | {:.1} | {} |",
             kind(*slow),
-            r.asked,
+            r.requests,
             r.answered,
             r.throttled,
             r.failed,
-            r.ms(50.0),
-            r.ms(99.0),
-            r.took_us.max() as f64 / 1e3,
-            r.seconds.iter().min().unwrap_or(&0)
+            r.percentile_ms(50.0),
+            r.percentile_ms(99.0),
+            r.latency_us.max() as f64 / 1e3,
+            r.answers_by_second.iter().min().unwrap_or(&0)
         )?;
     }
     let count = |c: &std::sync::atomic::AtomicU64| c.load(Relaxed);
     writeln!(
         out,
-        "\nSlow clients: {} connections, {} commands, {} answered, {} throttled, {} failed, {} let go past their \
-         client timeout, {} crossed a connection's end, {} lost, {} wrong.\n",
-        count(&seen.connected),
-        count(&seen.requests),
-        count(&seen.answered),
-        count(&seen.throttled),
-        count(&seen.failed),
-        count(&seen.ended_after_timeout),
-        count(&seen.ended_before_response),
-        count(&seen.lost),
-        count(&seen.wrong)
+        "\nSlow clients: {} connections, {} requests, {} answered, {} throttled, {} failed, {} closed after the \
+         client timeout, {} closed before a response, {} lost, {} wrong.\n",
+        count(&counters.connected),
+        count(&counters.requests),
+        count(&counters.answered),
+        count(&counters.throttled),
+        count(&counters.failed),
+        count(&counters.ended_after_timeout),
+        count(&counters.ended_before_response),
+        count(&counters.lost),
+        count(&counters.wrong)
     )?;
-    writeln!(out, "The gateway says: {peers}\n\n{figures:?}")?;
+    writeln!(out, "Peer counters of the gateway: {peers}\n\n{figures:?}")?;
     Ok(out)
 }
 
-/// Response times by percentile, a line a kind of period.
-fn chart(path: &std::path::Path, periods: &[(bool, Record)]) -> Result<(), Box<dyn Error>> {
+/// Draws latency by percentile, with one line for the clean and one for the slow periods.
+fn chart(path: &std::path::Path, periods: &[(bool, Measurements)]) -> Result<(), Box<dyn Error>> {
     let curve = |slow: bool| {
-        let mut all = Record::new(0);
+        let mut all = Measurements::new(0);
         periods
             .iter()
             .filter(|(s, _)| *s == slow)
-            .for_each(|(_, r)| all.join(r));
+            .for_each(|(_, r)| all.merge(r));
         (0..=1000)
             .map(|n| f64::from(n) / 10.0)
-            .map(|p| (p, all.ms(p)))
+            .map(|p| (p, all.percentile_ms(p)))
             .collect::<Vec<_>>()
     };
     let curves = [(curve(false), BLUE, "clean"), (curve(true), RED, "slow")];
-    let top = curves
+    let max_ms = curves
         .iter()
         .flat_map(|(c, ..)| c.iter().map(|(_, ms)| *ms))
         .fold(1.0, f64::max);
@@ -178,11 +198,11 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..100.0, (0.5..top * 1.1).log_scale())?;
+        .build_cartesian_2d(0.0..100.0, (0.5..max_ms * 1.1).log_scale())?;
     chart
         .configure_mesh()
-        .x_desc("percent of honest commands")
-        .y_desc("ms")
+        .x_desc("percent of requests of well-behaved clients")
+        .y_desc("latency in ms")
         .draw()?;
     for (curve, colour, name) in curves {
         let drawn = chart
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -1,7 +1,10 @@
-//! Owns the experiment with sessions: a gateway is killed right after it has answered a write, and the session reads
-//! through another one and through the one that is started again.
+//! Session consistency across the loss of a gateway: a gateway is killed right after it has answered a write, and the
+//! session reads through another gateway and then through the restarted one.
 //!
-//! It must never count a read as complete by what the gateway says of it: the set knows what each row was made from.
+//! # Invariants
+//!
+//! Whether a read saw the session's last write is judged by the replica set, which records the state that each row was
+//! read from, and never by what a gateway reports.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -19,108 +22,135 @@
 use leverpoint_test_support::values::expected_value;
 use serde::Serialize;
 
-use crate::harness::{self, PATIENCE};
+use crate::harness::{self, RESPONSE_TIMEOUT};
 
+/// How gateways learn of the writes that other gateways, or they themselves before a restart, have answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Nothing is shared.
+    /// Gateways share nothing.
     None,
-    /// Clients carry tokens.
+    /// Clients pass on signed session tokens.
     Carried,
-    /// Each gateway keeps what passes on a disk that lasts.
+    /// Each gateway stores session positions on a disk that survives its restart.
     Disk,
 }
 
+/// Options of `run sessions` and `run price`.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct Options {
     pub mode: Mode,
-    pub tries: usize,
+    /// Number of writes, each followed by a kill of its gateway; `run price` ignores it.
+    pub trials: usize,
+    /// At most 400 trials.
     pub short: bool,
     pub seed: u64,
+    /// Directory for tables, charts and the gateways' files.
     pub out: PathBuf,
-    pub without: bool,
+    /// Starts the gateways without an operator's file, which switches session consistency off.
+    pub without_sessions: bool,
+    /// The gateway program; by default the one in the directory of this program.
     pub program: Option<PathBuf>,
 }
 
+/// Results of a run, printed as JSON. Shares and latencies are over the reads that were answered.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Figures {
-    pub tries: usize,
+    #[serde(rename = "tries")]
+    pub trials: usize,
     pub reads: usize,
+    /// Reads that did not see the session's last write.
     pub missing: usize,
+    /// Writes and reads without a valid response within [`RESPONSE_TIMEOUT`].
     pub failed: usize,
+    /// Share answered by the primary.
     pub to_primary_share: f64,
+    /// Share answered by the primary although a replica had the session's last write.
     pub needless_share: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
+    /// Responses with a missing or unexpected value.
     pub wrong: usize,
 }
 
-/// Lanes play side by side, each with two gateways of its own on the same set.
-const LANES: usize = 6;
-pub(crate) const MEMBERS: usize = 4;
-/// Replication within a data centre, on the slow side.
-pub(crate) const BUILD: ReplicaSetConfig = ReplicaSetConfig {
+/// Workers that run trials in parallel, each with two gateways of its own in front of the same replica set.
+const WORKERS: usize = 6;
+/// Number of servers in the replica set.
+pub(crate) const SET_MEMBERS: usize = 4;
+/// Replica set with a replication lag at the slow end of what is usual within a data centre.
+pub(crate) const SET_CONFIG: ReplicaSetConfig = ReplicaSetConfig {
     replication_lag: 150,
     ..IDEAL_SET
 };
-pub(crate) const WORK: Duration = Duration::from_millis(2);
+/// Time that a server works on a request.
+pub(crate) const SERVICE_TIME: Duration = Duration::from_millis(2);
 
-/// What one lane has measured.
-struct Record {
-    times: Histogram<u64>,
+/// Counts and latencies of one worker.
+struct WorkerResult {
+    /// Read latencies in microseconds, retries included.
+    latencies: Histogram<u64>,
     figures: Figures,
-    primary: usize,
-    needless: usize,
+    primary_reads: usize,
+    needless_primary_reads: usize,
 }
 
-struct Lane<'a> {
+/// One worker, with its gateways and its counts.
+struct Worker<'a> {
     set: &'a ReplicaSet,
     program: &'a Path,
-    known: &'a str,
-    asked: &'a Asked,
+    known_list: &'a str,
+    options: &'a Options,
     gateways: [Option<Gateway>; 2],
-    record: Record,
-    chance: Rng,
-    name: usize,
-    ids: usize,
+    result: WorkerResult,
+    rng: Rng,
+    index: usize,
+    request_count: usize,
 }
 
-impl Lane<'_> {
-    fn start(&mut self, nth: usize) {
-        let name = format!("{}-{nth}", self.name);
-        self.gateways[nth] = Some(start(self.asked, self.program, self.known, &name));
+impl Worker<'_> {
+    /// Starts one of the two gateways, given by index.
+    fn start_gateway(&mut self, gateway: usize) {
+        let name = format!("{}-{gateway}", self.index);
+        self.gateways[gateway] = Some(start_gateway(
+            self.options,
+            self.program,
+            self.known_list,
+            &name,
+        ));
     }
 
+    /// Returns a new request ID.
     fn id(&mut self) -> String {
-        self.ids += 1;
-        format!("l{}n{}", self.name, self.ids)
+        self.request_count += 1;
+        format!("l{}n{}", self.index, self.request_count)
     }
 
-    /// Sends a command until it is answered or its time is over; what was heard, and its id.
-    fn command(
+    /// Sends a request through a gateway, given by index, with a new ID for each attempt, until it is answered or
+    /// [`RESPONSE_TIMEOUT`] is over. `text` makes the SQL text of an ID and the milliseconds left; `length` is the length
+    /// of the expected value. Returns the response and the ID of the answered attempt.
+    fn send_with_retries(
         &mut self,
-        nth: usize,
+        gateway: usize,
         text: &dyn Fn(&str, u128) -> String,
         length: usize,
     ) -> Option<(Vec<u8>, String)> {
-        let ends = Instant::now() + PATIENCE;
-        while Instant::now() < ends {
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        while Instant::now() < deadline {
             let id = self.id();
-            let left = ends
+            let remaining_ms = deadline
                 .saturating_duration_since(Instant::now())
                 .as_millis()
                 .max(1);
-            let Some(heard) = self.gateways[nth]
+            let Some(response) = self.gateways[gateway]
                 .as_ref()
-                .and_then(|gateway| harness::connect(&gateway.address))
-                .and_then(|mut stream| harness::ask(&mut stream, &text(&id, left)))
+                .and_then(|running| harness::connect(&running.address))
+                .and_then(|mut stream| harness::send_query(&mut stream, &text(&id, remaining_ms)))
             else {
                 thread::sleep(Duration::from_millis(5));
                 continue;
             };
-            match classify_response(&heard, &expected_value(&id, length)) {
-                ResponseOutcome::Answered => return Some((heard, id)),
-                ResponseOutcome::Wrong => self.record.figures.wrong += 1,
+            match classify_response(&response, &expected_value(&id, length)) {
+                ResponseOutcome::Answered => return Some((response, id)),
+                ResponseOutcome::Wrong => self.result.figures.wrong += 1,
                 ResponseOutcome::Throttled(ms) => {
                     thread::sleep(Duration::from_millis(ms.clamp(10, 300)))
                 }
@@ -130,168 +160,200 @@
         None
     }
 
-    fn read(&mut self, nth: usize, session: &str, token: Option<&str>) {
-        let Some(wrote) = self.set.last_write_position(session) else {
+    /// Reads the session's row, with the session token if one is given, and checks that it shows the last write.
+    fn read(&mut self, gateway: usize, session: &str, token: Option<&str>) {
+        let Some(write_position) = self.set.last_write_position(session) else {
             return;
         };
         let after = token
             .map(|token| format!(",after={token}"))
             .unwrap_or_default();
-        let text = |id: &str, left: u128| {
+        let text = |id: &str, remaining_ms: u128| {
             format!(
-                "SELECT v FROM records WHERE k = '{session}' /* id={id},c=own,t=honest,d={left},cluster=2{after} */"
+                "SELECT v FROM records WHERE k = '{session}' /* id={id},c=own,t=honest,d={remaining_ms},cluster=2{after} */"
             )
         };
-        let began = Instant::now();
-        let answered = self.command(nth, &text, 64);
-        let took = began.elapsed().as_micros() as u64;
-        self.record.figures.reads += 1;
-        let row = answered.and_then(|(_, id)| self.set.take_read_origin(&id));
-        let Some(row) = row else {
-            self.record.figures.failed += 1;
+        let started_at = Instant::now();
+        let answered = self.send_with_retries(gateway, &text, 64);
+        let elapsed_us = started_at.elapsed().as_micros() as u64;
+        self.result.figures.reads += 1;
+        let origin = answered.and_then(|(_, id)| self.set.take_read_origin(&id));
+        let Some(origin) = origin else {
+            self.result.figures.failed += 1;
             return;
         };
-        self.record.times.saturating_record(took);
-        self.record.figures.missing += usize::from(row.position < wrote);
-        self.record.primary += usize::from(row.by_primary);
-        self.record.needless += usize::from(row.needless);
+        self.result.latencies.saturating_record(elapsed_us);
+        self.result.figures.missing += usize::from(origin.position < write_position);
+        self.result.primary_reads += usize::from(origin.by_primary);
+        self.result.needless_primary_reads += usize::from(origin.needless);
     }
 
-    fn one_try(&mut self, nth: usize) {
-        let writer = self.chance.usize(..2);
-        // Sessions come back, so that both gateways have met most of them before.
-        let session = format!("64-s{}x{}", self.name, nth % 40);
-        let key = format!("{:x}", self.chance.u64(..));
-        let text = |id: &str, left: u128| {
+    /// Writes, kills the gateway that answered, reads through the other one, restarts the killed one and reads through it.
+    fn run_trial(&mut self, trial: usize) {
+        let writer = self.rng.usize(..2);
+        // Sessions are reused, so that both gateways have served most of them before.
+        let session = format!("64-s{}x{}", self.index, trial % 40);
+        let key = format!("{:x}", self.rng.u64(..));
+        let text = |id: &str, remaining_ms: u128| {
             format!(
                 "INSERT INTO records (k, v) VALUES ('{session}', '\\x9f') RETURNING v \
-                 /* id={id},c=report,t=honest,d={left},k={key},cluster=2 */"
+                 /* id={id},c=report,t=honest,d={remaining_ms},k={key},cluster=2 */"
             )
         };
-        self.record.figures.tries += 1;
-        let Some((heard, _)) = self.command(writer, &text, 64) else {
-            self.record.figures.failed += 1;
+        self.result.figures.trials += 1;
+        let Some((response, _)) = self.send_with_retries(writer, &text, 64) else {
+            self.result.figures.failed += 1;
             return;
         };
-        // Killed outright: the guard's drop sends SIGKILL and waits for its end.
+        // Dropping the gateway sends SIGKILL and waits for the exit.
         self.gateways[writer] = None;
-        let token = notice_detail(&heard);
+        let token = notice_detail(&response);
         self.read(1 - writer, &session, token.as_deref());
-        self.start(writer);
+        self.start_gateway(writer);
         self.read(writer, &session, token.as_deref());
     }
 }
 
-/// The operator's file of one gateway, and its folder where it keeps one.
-fn operator(asked: &Asked, gateway: &str) -> std::io::Result<String> {
-    std::fs::create_dir_all(&asked.out)?;
+/// Writes the operator's file of one gateway and returns its path. In [`Mode::Disk`] the file names a data directory in
+/// the output directory.
+///
+/// # Errors
+///
+/// Returns any error of the file system.
+fn write_operator_file(options: &Options, gateway: &str) -> std::io::Result<String> {
+    std::fs::create_dir_all(&options.out)?;
     let number = "  number = \"8c1f30d27a5be964\"\n";
-    let more = match asked.mode {
+    let mode_settings = match options.mode {
         Mode::None => String::new(),
         Mode::Carried => format!("  keys   = [\"7:00112233445566778899aabbccddeeff\"]\n{number}"),
         Mode::Disk => {
-            let folder = std::path::absolute(asked.out.join(format!("disk-{gateway}")))?;
-            format!("  disk   = \"{}\"\n{number}", folder.display())
+            let data_dir = std::path::absolute(options.out.join(format!("disk-{gateway}")))?;
+            format!("  disk   = \"{}\"\n{number}", data_dir.display())
         }
     };
-    let file = asked.out.join(format!("sessions-{gateway}.hcl"));
-    std::fs::write(&file, format!("sessions {{\n  follow = true\n{more}}}\n"))?;
+    let file = options.out.join(format!("sessions-{gateway}.hcl"));
+    std::fs::write(
+        &file,
+        format!("sessions {{\n  follow = true\n{mode_settings}}}\n"),
+    )?;
     Ok(file.display().to_string())
 }
 
-/// A gateway that follows sessions as it is asked to.
-pub(crate) fn start(asked: &Asked, program: &Path, known: &str, name: &str) -> Gateway {
-    let operator = operator(asked, name).expect("a file is written");
-    harness::start(Some(&operator).filter(|_| !asked.without), program, known)
+/// Starts a gateway that tracks sessions in the selected mode; `name` makes its files unique.
+///
+/// # Panics
+///
+/// Panics if the operator's file cannot be written.
+pub(crate) fn start_gateway(
+    options: &Options,
+    program: &Path,
+    known_list: &str,
+    name: &str,
+) -> Gateway {
+    let operator_file = write_operator_file(options, name).expect("write the operator's file");
+    harness::start_gateway(
+        Some(&operator_file).filter(|_| !options.without_sessions),
+        program,
+        known_list,
+    )
 }
 
-pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let program = harness::program(&asked.program)?;
-    let (set, _members, known) = start_replica_set(BUILD, MEMBERS, WORK);
-    let tries = if asked.short {
-        asked.tries.min(400)
+/// Runs the experiment.
+///
+/// # Errors
+///
+/// Returns a message if the gateway program is missing or the latencies cannot be combined.
+pub(crate) fn run(options: &Options) -> Result<Figures, String> {
+    let program = harness::gateway_binary(&options.program)?;
+    let (set, _members, known_list) = start_replica_set(SET_CONFIG, SET_MEMBERS, SERVICE_TIME);
+    let trial_count = if options.short {
+        options.trials.min(400)
     } else {
-        asked.tries
+        options.trials
     };
-    let (next, over) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let lane = |name: usize| {
-        let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds of our own");
-        let record = Record {
-            times,
+    let (next, done) = (AtomicUsize::new(0), AtomicBool::new(false));
+    let run_worker = |index: usize| {
+        let latencies =
+            Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
+        let result = WorkerResult {
+            latencies,
             figures: Figures::default(),
-            primary: 0,
-            needless: 0,
+            primary_reads: 0,
+            needless_primary_reads: 0,
         };
-        let chance = Rng::with_seed(asked.seed * 100 + name as u64);
+        let rng = Rng::with_seed(options.seed * 100 + index as u64);
         let (set, program): (&ReplicaSet, &Path) = (&set, &program);
         let gateways = [None, None];
-        let mut lane = Lane {
+        let mut worker = Worker {
             set,
             program,
-            known: &known,
-            asked,
+            known_list: &known_list,
+            options,
             gateways,
-            record,
-            chance,
-            name,
-            ids: 0,
+            result,
+            rng,
+            index,
+            request_count: 0,
         };
-        (0..2).for_each(|nth| lane.start(nth));
+        (0..2).for_each(|gateway| worker.start_gateway(gateway));
         loop {
-            let nth = next.fetch_add(1, Relaxed);
-            if nth >= tries {
-                return lane.record;
+            let trial = next.fetch_add(1, Relaxed);
+            if trial >= trial_count {
+                return worker.result;
             }
-            lane.one_try(nth);
+            worker.run_trial(trial);
         }
     };
-    let records: Vec<Record> = thread::scope(|scope| {
-        let lanes: Vec<_> = (0..LANES)
-            .map(|name| scope.spawn(move || lane(name)))
+    let results: Vec<WorkerResult> = thread::scope(|scope| {
+        let workers: Vec<_> = (0..WORKERS)
+            .map(|index| scope.spawn(move || run_worker(index)))
             .collect();
-        let (set, over): (Arc<ReplicaSet>, &AtomicBool) = (set.clone(), &over);
-        let mut chance = Rng::with_seed(asked.seed);
-        // Meanwhile replicas stand still for a while, and the primary changes every few seconds.
-        let trouble = scope.spawn(move || {
-            let mut beat = 0;
-            while !over.load(Relaxed) {
-                let member = chance.usize(..MEMBERS);
+        let (set, done): (Arc<ReplicaSet>, &AtomicBool) = (set.clone(), &done);
+        let mut rng = Rng::with_seed(options.seed);
+        // Meanwhile, replication to random replicas pauses for a while, and the primary changes every few seconds.
+        let disruptions = scope.spawn(move || {
+            let mut round = 0;
+            while !done.load(Relaxed) {
+                let member = rng.usize(..SET_MEMBERS);
                 if set.primary() != Some(member) {
                     set.set_replication_paused(member, true);
                 }
-                thread::sleep(Duration::from_millis(chance.u64(100..600)));
+                thread::sleep(Duration::from_millis(rng.u64(100..600)));
                 set.set_replication_paused(member, false);
-                thread::sleep(Duration::from_millis(chance.u64(100..600)));
-                beat += 1;
-                if beat % 4 == 0 {
-                    set.switch_over(chance.usize(..MEMBERS));
+                thread::sleep(Duration::from_millis(rng.u64(100..600)));
+                round += 1;
+                if round % 4 == 0 {
+                    set.switch_over(rng.usize(..SET_MEMBERS));
                 }
             }
         });
-        let records = lanes
+        let results = workers
             .into_iter()
-            .map(|lane| lane.join().expect("a lane ends by itself"))
+            .map(|worker| worker.join().expect("worker panicked"))
             .collect();
-        over.store(true, Relaxed);
-        let _ = trouble.join();
-        records
+        done.store(true, Relaxed);
+        let _ = disruptions.join();
+        results
     });
-    let mut times =
+    let mut latencies =
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| e.to_string())?;
-    let (mut all, mut primary, mut needless) = (Figures::default(), 0, 0);
-    for record in records {
-        times.add(&record.times).map_err(|e| e.to_string())?;
-        all.tries += record.figures.tries;
-        all.reads += record.figures.reads;
-        all.missing += record.figures.missing;
-        all.failed += record.figures.failed;
-        all.wrong += record.figures.wrong;
-        primary += record.primary;
-        needless += record.needless;
+    let (mut figures, mut primary_reads, mut needless_primary_reads) = (Figures::default(), 0, 0);
+    for result in results {
+        latencies
+            .add(&result.latencies)
+            .map_err(|e| e.to_string())?;
+        figures.trials += result.figures.trials;
+        figures.reads += result.figures.reads;
+        figures.missing += result.figures.missing;
+        figures.failed += result.figures.failed;
+        figures.wrong += result.figures.wrong;
+        primary_reads += result.primary_reads;
+        needless_primary_reads += result.needless_primary_reads;
     }
-    let share = |n: usize| n as f64 / times.len().max(1) as f64;
-    (all.to_primary_share, all.needless_share) = (share(primary), share(needless));
-    all.p50_ms = times.value_at_quantile(0.5) as f64 / 1e3;
-    all.p99_ms = times.value_at_quantile(0.99) as f64 / 1e3;
-    Ok(all)
+    let share = |n: usize| n as f64 / latencies.len().max(1) as f64;
+    (figures.to_primary_share, figures.needless_share) =
+        (share(primary_reads), share(needless_primary_reads));
+    figures.p50_ms = latencies.value_at_quantile(0.5) as f64 / 1e3;
+    figures.p99_ms = latencies.value_at_quantile(0.99) as f64 / 1e3;
+    Ok(figures)
 }
--- a/crates/loadtest/src/slow_peers.rs
+++ b/crates/loadtest/src/slow_peers.rs
@@ -1,6 +1,9 @@
-//! Owns the experiment with slow peers: clean and slow periods in turns within one run of the real program.
+//! Latency of well-behaved clients while other clients and servers are slow: clean and slow periods alternate within one
+//! run of the gateway.
 //!
-//! It must never count a client that is slow among the honest ones.
+//! # Invariants
+//!
+//! The requests of slow clients never enter the measurements of the well-behaved ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,79 +22,88 @@
 };
 use leverpoint_test_support::wire::http_ok;
 
-use crate::harness::{self, SETTINGS, cpu_s};
-use crate::measurements::{Asked, Figures, Record};
-use crate::open_loop::{Honest, Line};
+use crate::harness::{self, SETTINGS, cpu_seconds};
+use crate::measurements::{Figures, Measurements, Options};
+use crate::open_loop::{OpenLoopClient, OpenLoopClients};
 use crate::report;
 
-const HONEST: usize = 32;
-/// A server's work for a command: far above the noise of a busy machine, far below any target.
-const WORK: Duration = Duration::from_millis(4);
-/// What slow clients ask for, and for how long they wait.
-const LENGTH: usize = 64_000;
-const TIMEOUT: Duration = Duration::from_millis(2_000);
-/// After a slow period, what it left behind passes before the next clean one begins.
-const SETTLES: Duration = Duration::from_millis(2_500);
+/// Number of well-behaved clients.
+const OPEN_LOOP_CLIENTS: usize = 32;
+/// Time that a server works on a request: far above the timing noise of a busy host, far below any latency target.
+const SERVICE_TIME: Duration = Duration::from_millis(4);
+/// Length of the value that slow clients request, in bytes.
+const VALUE_LENGTH: usize = 64_000;
+/// Timeout of the slow clients.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Pause after a slow period, in which its remaining connections and queued requests end before the next clean period.
+const RECOVERY_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// Habits of slow clients, in turns.
-const READERS: [ClientBehavior; 5] = [
+/// Behaviors of the slow clients, assigned in rotation.
+const READER_BEHAVIORS: [ClientBehavior; 5] = [
     ClientBehavior::NeverReads,
     ClientBehavior::ReadsAtRate(4 << 10),
     ClientBehavior::ReadsAtRate(9 << 10),
     ClientBehavior::ReadsAtRate(1),
     ClientBehavior::PausesReading(32_000, Duration::from_secs(10)),
 ];
-const WRITERS: [ClientBehavior; 2] = [
+const WRITER_BEHAVIORS: [ClientBehavior; 2] = [
     ClientBehavior::SendsHalfStatement,
     ClientBehavior::WritesInPieces(1, Duration::from_millis(50)),
 ];
 
-struct Stage {
+/// A running gateway with its replica set.
+struct Deployment {
     gateway: Gateway,
     set: Arc<ReplicaSet>,
     members: Vec<ReplicaSetMember>,
 }
 
-fn set_up(asked: &Asked) -> Result<Stage, String> {
-    let program = harness::program(&asked.program)?;
-    let (set, members, known) = start_replica_set(IDEAL_SET, 3 + asked.tricklers, WORK);
+/// Starts the replica set, an agent and the gateway with the configured limits.
+///
+/// # Errors
+///
+/// Returns a message if the gateway program is missing or the operator's file cannot be written.
+fn deploy(options: &Options) -> Result<Deployment, String> {
+    let program = harness::gateway_binary(&options.program)?;
+    let (set, members, known_list) =
+        start_replica_set(IDEAL_SET, 3 + options.tricklers, SERVICE_TIME);
     let (agent, address) = (start_agent(), gateway::free_address());
-    let text = gateway::config(&address, &agent.address, &known, SETTINGS)
+    let text = gateway::config(&address, &agent.address, &known_list, SETTINGS)
         .replace(
             "\"memory_mb\":192",
-            &format!("\"memory_mb\":{}", asked.memory_mb),
+            &format!("\"memory_mb\":{}", options.memory_mb),
         )
         .replace(
             "\"sockets\":1024",
-            &format!("\"sockets\":{}", asked.sockets),
+            &format!("\"sockets\":{}", options.sockets),
         );
-    std::fs::create_dir_all(&asked.out).map_err(|e| e.to_string())?;
-    let operator = asked.out.join("operator.hcl");
-    let words = if asked.without {
+    std::fs::create_dir_all(&options.out).map_err(|e| e.to_string())?;
+    let operator = options.out.join("operator.hcl");
+    let operator_settings = if options.without_pace {
         "slow {\n  caps = false\n}\n"
     } else {
         "slow {}\n"
     };
-    std::fs::write(&operator, words).map_err(|e| e.to_string())?;
+    std::fs::write(&operator, operator_settings).map_err(|e| e.to_string())?;
     let operator = operator.display().to_string();
     agent
         .responses
-        .send(http_ok(&known))
+        .send(http_ok(&known_list))
         .map_err(|e| e.to_string())?;
-    let words: &[&str] = if asked.plain {
+    let args: &[&str] = if options.no_operator_file {
         &[]
     } else {
         &["--operator", &operator]
     };
-    let gateway = gateway::start(&text, address, agent, &program, words);
-    Ok(Stage {
+    let gateway = gateway::start(&text, address, agent, &program, args);
+    Ok(Deployment {
         gateway,
         set,
         members,
     })
 }
 
-/// `VmHWM` of a process, in MiB.
+/// Peak resident memory of a process (`VmHWM`) in MiB, 0 if it cannot be read.
 fn peak_rss_mb(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -100,106 +112,142 @@
         / 1024.0
 }
 
-fn counted(line: &str, name: &str) -> u64 {
+/// Value of a counter in a log line, 0 if it is missing or not a number.
+fn counter(line: &str, name: &str) -> u64 {
     gateway::counter_value(line, name)
         .and_then(|count| count.parse().ok())
         .unwrap_or(0)
 }
 
-pub(crate) fn run(asked: &Asked) -> Result<Figures, String> {
-    let mut stage = set_up(asked)?;
-    let to: SocketAddr = stage
+/// Runs the clean and the slow periods and writes the output files, the gateway's log among them.
+///
+/// # Errors
+///
+/// Returns a message if the gateway program is missing or an output file cannot be written.
+pub(crate) fn run(options: &Options) -> Result<Figures, String> {
+    let mut deployment = deploy(options)?;
+    let address: SocketAddr = deployment
         .gateway
         .address
         .parse()
-        .map_err(|_| "an address of its own".to_owned())?;
-    let seconds = if asked.short { 4 } else { 10 };
-    let mut chance = fastrand::Rng::with_seed(asked.seed);
-    let mut lines: Vec<_> = (0..HONEST)
-        .map(|n| Line::new(to, format!("{:x}", 0xa00 + n), chance.u64(..)))
+        .map_err(|_| "the gateway's address is not an IP address and port".to_owned())?;
+    let seconds = if options.short { 4 } else { 10 };
+    let mut rng = fastrand::Rng::with_seed(options.seed);
+    let mut clients: Vec<_> = (0..OPEN_LOOP_CLIENTS)
+        .map(|n| OpenLoopClient::new(address, format!("{:x}", 0xa00 + n), rng.u64(..)))
         .collect();
-    let seen = Arc::new(ClientCounters::default());
-    let mut periods: Vec<(bool, Record)> = Vec::new();
-    let play = |lines: Vec<Line>, span: Duration| {
-        let honest = Honest::start(lines, Instant::now(), span.as_secs() as usize);
+    let counters = Arc::new(ClientCounters::default());
+    let mut periods: Vec<(bool, Measurements)> = Vec::new();
+    let run_period = |clients: Vec<OpenLoopClient>, span: Duration| {
+        let running = OpenLoopClients::start(clients, Instant::now(), span.as_secs() as usize);
         sleep(span);
-        honest.end()
+        running.end()
     };
-    // Connections come up and times are learnt before anything is measured.
-    (_, lines) = play(lines, Duration::from_secs(2));
-    let mut first = 0x10_0000;
-    for pair in 0..asked.pairs {
-        let record;
-        (record, lines) = play(lines, Duration::from_secs(seconds));
-        periods.push((false, record));
-        eprintln!("pair {} of {}: clean period played", pair + 1, asked.pairs);
-        for member in &stage.members[3..] {
+    // Warm-up: connections open and the gateway learns response times before the measurement.
+    (_, clients) = run_period(clients, Duration::from_secs(2));
+    let mut first_id = 0x10_0000;
+    for pair in 0..options.pairs {
+        let measurements;
+        (measurements, clients) = run_period(clients, Duration::from_secs(seconds));
+        periods.push((false, measurements));
+        eprintln!(
+            "pair {} of {}: clean period finished",
+            pair + 1,
+            options.pairs
+        );
+        for member in &deployment.members[3..] {
             member.set_pace(Pace::Trickle(1, Duration::from_millis(50)));
         }
-        let habits =
-            |of: &[ClientBehavior], n: usize| (0..n).map(|i| of[i % of.len()]).collect::<Vec<_>>();
-        let asks = RequestSpec {
+        let behaviors = |kinds: &[ClientBehavior], n: usize| {
+            (0..n).map(|i| kinds[i % kinds.len()]).collect::<Vec<_>>()
+        };
+        let request = RequestSpec {
             request_class: "view".into(),
             tenant: "venue".into(),
             replica_set: 2,
-            value_length: LENGTH,
-            timeout: TIMEOUT,
+            value_length: VALUE_LENGTH,
+            timeout: CLIENT_TIMEOUT,
         };
-        let readers = SlowClients::start(to, &habits(&READERS, asked.readers), &asks, &seen, first);
-        first += 0x1_0000;
-        let writers = SlowClients::start(to, &habits(&WRITERS, asked.writers), &asks, &seen, first);
-        first += 0x1_0000;
-        let record;
-        (record, lines) = play(lines, Duration::from_secs(seconds));
-        periods.push((true, record));
+        let readers = SlowClients::start(
+            address,
+            &behaviors(&READER_BEHAVIORS, options.readers),
+            &request,
+            &counters,
+            first_id,
+        );
+        first_id += 0x1_0000;
+        let writers = SlowClients::start(
+            address,
+            &behaviors(&WRITER_BEHAVIORS, options.writers),
+            &request,
+            &counters,
+            first_id,
+        );
+        first_id += 0x1_0000;
+        let measurements;
+        (measurements, clients) = run_period(clients, Duration::from_secs(seconds));
+        periods.push((true, measurements));
         drop((readers, writers));
-        stage
+        deployment
             .members
             .iter()
             .for_each(|member| member.set_pace(Pace::Whole));
-        eprintln!("pair {} of {}: slow period played", pair + 1, asked.pairs);
-        (_, lines) = play(lines, if asked.short { SETTLES / 2 } else { SETTLES });
+        eprintln!(
+            "pair {} of {}: slow period finished",
+            pair + 1,
+            options.pairs
+        );
+        (_, clients) = run_period(
+            clients,
+            if options.short {
+                RECOVERY_PAUSE / 2
+            } else {
+                RECOVERY_PAUSE
+            },
+        );
     }
-    drop(lines);
-    let rss = peak_rss_mb(stage.gateway.child.id());
-    let cpu = cpu_s(stage.gateway.child.id());
-    let line = stage.gateway.shut_down_for_peers_line(asked.plain);
-    let commands = counted(&stage.gateway.log_lines.borrow().join(" "), "answered").max(1);
+    drop(clients);
+    let rss_mb = peak_rss_mb(deployment.gateway.child.id());
+    let cpu_s = cpu_seconds(deployment.gateway.child.id());
+    let peers_line = deployment
+        .gateway
+        .shut_down_for_peers_line(options.no_operator_file);
+    let answered = counter(&deployment.gateway.log_lines.borrow().join(" "), "answered").max(1);
     eprintln!(
-        "{cpu} s of CPU, {commands} answered, {:.1} us each",
-        cpu * 1e6 / commands as f64
+        "gateway: {cpu_s} s of CPU time, {answered} requests answered, {:.1} us per request",
+        cpu_s * 1e6 / answered as f64
     );
-    let log = stage.gateway.log_lines.borrow().join("\n");
-    std::fs::write(asked.out.join("gateway.log"), log).map_err(|e| e.to_string())?;
-    let (twice, _) = stage.set.effect_counts();
+    let log = deployment.gateway.log_lines.borrow().join("\n");
+    std::fs::write(options.out.join("gateway.log"), log).map_err(|e| e.to_string())?;
+    let (duplicate_effects, _) = deployment.set.effect_counts();
     let sum = |slow: bool| {
-        let mut all = Record::new(0);
+        let mut all = Measurements::new(0);
         let mut seconds = Vec::new();
-        for (_, record) in periods.iter().filter(|(s, _)| *s == slow) {
-            all.join(record);
-            seconds.extend(record.seconds.iter().copied());
+        for (_, measurements) in periods.iter().filter(|(s, _)| *s == slow) {
+            all.merge(measurements);
+            seconds.extend(measurements.answers_by_second.iter().copied());
         }
         (all, seconds.into_iter().min().unwrap_or(0))
     };
     let ((clean, clean_worst), (slow, slow_worst)) = (sum(false), sum(true));
     let figures = Figures {
-        pairs: asked.pairs,
+        pairs: options.pairs,
         answered_ratio: slow.answered_share() / clean.answered_share(),
-        p50_ratio: slow.ms(50.0) / clean.ms(50.0),
-        p99_ratio: slow.ms(99.0) / clean.ms(99.0),
+        p50_ratio: slow.percentile_ms(50.0) / clean.percentile_ms(50.0),
+        p99_ratio: slow.percentile_ms(99.0) / clean.percentile_ms(99.0),
         worst_second_ratio: slow_worst as f64 / clean_worst.max(1) as f64,
-        peak_rss_mb: rss,
-        held_peak_bytes: counted(&line, "held.peak"),
-        let_go: counted(&line, "peers.let_go"),
-        lost: clean.lost + slow.lost + seen.lost.load(Relaxed),
-        wrong: clean.wrong + slow.wrong + seen.wrong.load(Relaxed) + twice,
+        peak_rss_mb: rss_mb,
+        held_peak_bytes: counter(&peers_line, "held.peak"),
+        let_go: counter(&peers_line, "peers.let_go"),
+        lost: clean.lost + slow.lost + counters.lost.load(Relaxed),
+        wrong: clean.wrong + slow.wrong + counters.wrong.load(Relaxed) + duplicate_effects,
     };
     report::write(
-        asked,
+        options,
         &periods,
         &figures,
-        &seen,
-        &format!("{line}; {cpu} s of CPU"),
+        &counters,
+        &format!("{peers_line}; {cpu_s} s of CPU time"),
     )
     .map_err(|e| e.to_string())?;
     Ok(figures)
