--- a/crates/loadtest/src/harness.rs
+++ b/crates/loadtest/src/harness.rs
@@ -48,8 +48,8 @@
     Ok(path)
 }
 
-/// Starts a gateway with an operator's file, if one is given, and an agent that serves `known_list` as its endpoint list.
-/// Each start takes a new address, since the socket of an earlier gateway may still be open.
+/// Starts a gateway with an operator's file, if one is given, and an agent that serves `known_list` as its endpoint
+/// list. Each start takes a new address, since the socket of an earlier gateway may still be open.
 pub(crate) fn start_gateway(
     operator: Option<&String>,
     program: &Path,
--- a/crates/loadtest/src/measurements.rs
+++ b/crates/loadtest/src/measurements.rs
@@ -30,8 +30,8 @@
     pub wrong: u64,
     /// Answered requests in each second of the period.
     pub answers_by_second: Vec<u64>,
-    /// The requests slower than [`TAIL_THRESHOLD_US`]: time of the response in ms since the start of the period, latency in
-    /// microseconds, and index into the request mix.
+    /// The requests slower than [`TAIL_THRESHOLD_US`]: time of the response in ms since the start of the period,
+    /// latency in microseconds, and index into the request mix.
     pub tail: Vec<(u64, u64, usize)>,
 }
 
@@ -148,9 +148,9 @@
     pub worst_second_ratio: f64,
     /// Peak resident memory of the gateway in MiB.
     pub peak_rss_mb: f64,
-    /// Peak of the bytes that the gateway buffered for its peers, from its log.
+    /// Peak of the bytes that the gateway held for its client connections, from its log.
     pub held_peak_bytes: u64,
-    /// Connections that the gateway closed because the peer was too slow, from its log.
+    /// Client connections that the gateway evicted, from its log.
     pub let_go: u64,
     /// Lost requests of all clients.
     pub lost: u64,
--- a/crates/loadtest/src/membership.rs
+++ b/crates/loadtest/src/membership.rs
@@ -135,7 +135,8 @@
     (started_at.elapsed(), late)
 }
 
-/// Waits until each member reports every other as alive. Returns the number of reports later than [`convergence_bound`].
+/// Waits until each member reports every other as alive. Returns the number of reports later than
+/// [`convergence_bound`].
 fn wait_until_all_alive(fleet: &mut GatewayFleet) -> u64 {
     let all: Vec<usize> = (0..PROCESSES).collect();
     let names: Vec<String> = all.iter().map(|p| fleet.name(*p).to_owned()).collect();
@@ -280,8 +281,8 @@
             state.count_with_status("here") >= members - 1
         });
     }
-    // Excludes the startup from the measurement: the votes on each new replica holder, the handshakes of first connections
-    // and the first spread of statuses.
+    // Excludes the startup from the measurement: the votes on each new replica holder, the handshakes of first
+    // connections and the first spread of statuses.
     let started_at = Instant::now();
     while fleet.observed(0).holder_count < members as u64 && started_at.elapsed() < JOIN_TIMEOUT {
         let _ = fleet.wait_for_state(0, |state| state.holder_count >= members as u64);
--- a/crates/loadtest/src/open_loop.rs
+++ b/crates/loadtest/src/open_loop.rs
@@ -25,8 +25,8 @@
 
 /// How long a client waits for a response, from the time that the request is due, and for a TCP connection.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Mean interval between the requests of one client, in seconds: ten requests a second, the rate of a scorekeeping app at
-/// the end of a round.
+/// Mean interval between the requests of one client, in seconds: ten requests a second, the rate of a scorekeeping app
+/// at the end of a round.
 const MEAN_INTERVAL_S: f64 = 0.1;
 /// Delay before a retry if the error names none.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -67,6 +67,7 @@
 }
 
 impl OpenLoopClient {
+    /// A client that connects to `address` with its first request. `name` makes its request IDs unique.
     pub(crate) fn new(address: SocketAddr, name: String, seed: u64) -> OpenLoopClient {
         OpenLoopClient {
             address,
@@ -103,8 +104,8 @@
         OpenLoopClients { stop, threads }
     }
 
-    /// Ends the period once each client has finished its current request. Returns the combined measurements, and the clients
-    /// for the next period.
+    /// Ends the period once each client has finished its current request. Returns the combined measurements, and the
+    /// clients for the next period.
     pub(crate) fn end(self) -> (Measurements, Vec<OpenLoopClient>) {
         self.stop.store(true, Relaxed);
         let mut all = Measurements::new(0);
@@ -221,8 +222,8 @@
                         measurements.failed += 1;
                         return;
                     }
-                    // The gateway may have closed the idle connection while the request was under way: the protocol allows
-                    // one retry on another connection.
+                    // The gateway may have closed the idle connection while the request was under way: the protocol
+                    // allows one retry on another connection.
                     if !response.is_empty() || std::mem::replace(&mut resent, true) {
                         measurements.lost += 1;
                         return;
--- a/crates/loadtest/src/replication_loss.rs
+++ b/crates/loadtest/src/replication_loss.rs
@@ -1,7 +1,7 @@
-//! Loss of gateways that replicate their sessions: in each trial a gateway is killed right after it has answered a write,
-//! and its data directory is erased. The session then reads through another gateway, and its client retries the
-//! idempotency key through a third. Further parts measure the latency of replication against a fleet without it, and how
-//! a replaced gateway receives its replicas.
+//! Loss of gateways that replicate their sessions: in each trial a gateway is killed right after it has answered a
+//! write, and its data directory is erased. The session then reads through another gateway, and its client retries the
+//! idempotency key through a third. Further parts measure the latency of replication against a fleet without it, and
+//! how a replaced gateway receives its replicas.
 //!
 //! # Invariants
 //!
@@ -79,8 +79,8 @@
     /// Seconds from the restart of an erased gateway until the fleet has settled.
     #[serde(rename = "repair_s_p99")]
     pub recovery_s_p99: f64,
-    /// Share of the retries that were not answered. A gateway rejects a retry at once if it cannot be determined whether
-    /// the write was executed.
+    /// Share of the retries that were not answered. A gateway rejects a retry at once if it cannot be determined
+    /// whether the write was executed.
     #[serde(rename = "unclear_share")]
     pub unclear_retry_share: f64,
     /// Writes and reads without a valid response within [`RESPONSE_TIMEOUT`].
@@ -156,9 +156,9 @@
         format!("c{}n{}", self.index, self.request_count)
     }
 
-    /// Sends a request through gateway `p`, with a new ID for each attempt, as often as the gateway asks for a retry. `text`
-    /// makes the SQL text of an ID and the milliseconds left. Returns the ID of the answered attempt, or `None` if the
-    /// request fails or [`RESPONSE_TIMEOUT`] is over.
+    /// Sends a request through gateway `p`, with a new ID for each attempt, as often as the gateway asks for a retry.
+    /// `text` makes the SQL text of an ID and the milliseconds left. Returns the ID of the answered attempt, or `None`
+    /// if the request fails or [`RESPONSE_TIMEOUT`] is over.
     fn send_with_retries(
         &mut self,
         p: usize,
@@ -372,8 +372,8 @@
     Ok(())
 }
 
-/// Writes alternately through a fleet with replication and one without, with `clients` parallel clients. Returns the ratio
-/// of the p99 latencies.
+/// Writes alternately through a fleet with replication and one without, with `clients` parallel clients. Returns the
+/// ratio of the p99 latencies.
 fn compare_write_latency(options: &Options, program: &Path, clients: usize) -> Result<f64, String> {
     let (_set, _members, known_list) = start_replica_set(SET_CONFIG, SET_MEMBERS, SERVICE_TIME);
     let fleets: Vec<GatewayFleet> = [true, false]
@@ -425,8 +425,8 @@
     Ok(with[1] / without[1])
 }
 
-/// Runs the writes of one client, alternating between the fleets; `pauses` adds a random pause before each write. Returns
-/// the latencies in microseconds by fleet.
+/// Runs the writes of one client, alternating between the fleets; `pauses` adds a random pause before each write.
+/// Returns the latencies in microseconds by fleet.
 fn write_alternately(
     n: usize,
     rounds: usize,
@@ -542,8 +542,8 @@
     Ok(())
 }
 
-/// Runs a session until `done` is set. Returns, for each answered read, the latency in ms and whether the primary answered
-/// it although a replica had the last write; and the number of reads that did not see the last write.
+/// Runs a session until `done` is set. Returns, for each answered read, the latency in ms and whether the primary
+/// answered it although a replica had the last write; and the number of reads that did not see the last write.
 fn session_client(
     n: usize,
     addresses: &[String],
@@ -591,12 +591,12 @@
 /// Interval between samples of latency, records and bytes.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Sample during the replacement of a gateway: seconds since its start, p99 latency of requests in ms, records on it, and
-/// bytes sent by all gateways so far.
+/// Sample during the replacement of a gateway: seconds since its start, p99 latency of requests in ms, records on it,
+/// and bytes sent by all gateways so far.
 type Sample = (f64, f64, u64, u64);
 
-/// Fills a fleet with session records, replaces one erased gateway and measures request latency until the new one has all
-/// its replicas, for 10 minutes at most.
+/// Fills a fleet with session records, replaces one erased gateway and measures request latency until the new one has
+/// all its replicas, for 10 minutes at most.
 fn measure_replacement(options: &Options, program: &Path) -> Result<(), String> {
     let records = if options.short {
         options.records.min(5_000)
--- a/crates/loadtest/src/report.rs
+++ b/crates/loadtest/src/report.rs
@@ -13,6 +13,7 @@
 
 use crate::measurements::{Figures, Measurements, Options};
 
+/// Percentiles of the latency in the table.
 const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 99.9];
 
 /// Writes all files into the output directory. `peers` is the gateway's log line with the counters of its peers.
@@ -48,10 +49,12 @@
     Ok(())
 }
 
+/// Name of a kind of period in the table and the summary.
 fn kind(slow: bool) -> &'static str {
     if slow { "slow" } else { "clean" }
 }
 
+/// Writes one row of counts, latencies and the lowest number of answers in a second for each period.
 fn table(
     mut out: csv::Writer<std::fs::File>,
     periods: &[(bool, Measurements)],
@@ -107,6 +110,7 @@
     Ok(out.flush()?)
 }
 
+/// Formats the Markdown summary: parameters, a table of the periods, counters of the slow clients and the figures.
 fn summary(
     options: &Options,
     periods: &[(bool, Measurements)],
--- a/crates/loadtest/src/session_overhead.rs
+++ b/crates/loadtest/src/session_overhead.rs
@@ -22,8 +22,8 @@
 use crate::harness;
 use crate::sessions::{self, Options, SERVICE_TIME, SET_CONFIG, SET_MEMBERS};
 
-/// Results of a run, printed as JSON. `steady` and `after_*` are the shares of session reads that the primary answered in
-/// the five seconds from the start of the steady state and from each restart on.
+/// Results of a run, printed as JSON. `steady` and `after_*` are the shares of session reads that the primary answered
+/// in the five seconds from the start of the steady state and from each restart on.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct Figures {
     pub reads: usize,
@@ -54,8 +54,8 @@
 /// A session's read: when it was sent, in seconds from the start of the run; its origin; its latency in ms.
 type SessionRead = (f64, ReadOrigin, f64);
 
-/// Runs a session that writes its row and reads it back at random intervals, always through the same gateway. Returns its
-/// reads, and how many of them did not see the last write.
+/// Runs a session that writes its row and reads it back at random intervals, always through the same gateway. Returns
+/// its reads, and how many of them did not see the last write.
 fn session_client(
     n: usize,
     addresses: &[Mutex<String>],
--- a/crates/loadtest/src/sessions.rs
+++ b/crates/loadtest/src/sessions.rs
@@ -125,8 +125,8 @@
     }
 
     /// Sends a request through a gateway, given by index, with a new ID for each attempt, until it is answered or
-    /// [`RESPONSE_TIMEOUT`] is over. `text` makes the SQL text of an ID and the milliseconds left; `length` is the length
-    /// of the expected value. Returns the response and the ID of the answered attempt.
+    /// [`RESPONSE_TIMEOUT`] is over. `text` makes the SQL text of an ID and the milliseconds left; `length` is the
+    /// length of the expected value. Returns the response and the ID of the answered attempt.
     fn send_with_retries(
         &mut self,
         gateway: usize,
@@ -188,7 +188,8 @@
         self.result.needless_primary_reads += usize::from(origin.needless);
     }
 
-    /// Writes, kills the gateway that answered, reads through the other one, restarts the killed one and reads through it.
+    /// Writes, kills the gateway that answered, reads through the other one, restarts the killed one and reads through
+    /// it.
     fn run_trial(&mut self, trial: usize) {
         let writer = self.rng.usize(..2);
         // Sessions are reused, so that both gateways have served most of them before.
--- a/crates/loadtest/src/slow_peers.rs
+++ b/crates/loadtest/src/slow_peers.rs
@@ -1,5 +1,5 @@
-//! Latency of well-behaved clients while other clients and servers are slow: clean and slow periods alternate within one
-//! run of the gateway.
+//! Latency of well-behaved clients while other clients and servers are slow: clean and slow periods alternate within
+//! one run of the gateway.
 //!
 //! # Invariants
 //!
