--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -14,19 +14,19 @@
 
 use crate::checker::{Effects, Final};
 use crate::course::{Facts, LATENCY, Play, address, facts};
-use crate::script::{Ask, Group};
+use crate::gateway_script::{RequestClass, ScriptedRequest};
 use crate::talk::Talk;
 use crate::world::EventSource;
 
 impl Play {
     /// One client: its commands in their order, each on the connection it has.
-    pub(crate) async fn client(self: Rc<Self>, n: usize, asks: Vec<Ask>, slow: bool) {
+    pub(crate) async fn client(self: Rc<Self>, n: usize, asks: Vec<ScriptedRequest>, slow: bool) {
         let mut gateway = n % self.scenario.gateways;
         let mut talk: Option<(Talk, u64)> = None;
         let at_a_time = if slow { 64 } else { usize::MAX };
         for ask in asks {
             sleep_until(self.sim.instant(ask.at)).await;
-            let facts = facts(ask.group);
+            let facts = facts(ask.class);
             self.asked.set(self.asked.get() + facts.benefit);
             let ends = self.now() + facts.timeout;
             let began = self.now();
@@ -86,7 +86,7 @@
                     length,
                     owed,
                 );
-                if self.scenario.sessions && ask.group == Group::Own {
+                if self.scenario.sessions && ask.class == RequestClass::Own {
                     let history = self.tokens.borrow().get(&n).map(|(at, ..)| *at);
                     self.checker.borrow_mut().follows(&id, history);
                 }
@@ -147,7 +147,7 @@
                         if let Some(token) = notice_detail(&heard) {
                             self.carried.borrow_mut().insert(n, token);
                         }
-                        if matches!(ask.group, Group::Report | Group::Order) {
+                        if matches!(ask.class, RequestClass::Report | RequestClass::Order) {
                             // What a later read of the session must see through the same gateway's life: no more
                             // than when it was sent, as the commit lies behind.
                             self.tokens.borrow_mut().insert(n, (sent, gateway, life));
@@ -173,7 +173,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn statement(
         &self,
-        ask: &Ask,
+        ask: &ScriptedRequest,
         facts: &Facts,
         client: usize,
         id: &str,
@@ -194,8 +194,8 @@
         if repeat {
             comment += ",r=1";
         }
-        if matches!(ask.group, Group::Report | Group::Order) {
-            if ask.group == Group::Report {
+        if matches!(ask.class, RequestClass::Report | RequestClass::Order) {
+            if ask.class == RequestClass::Report {
                 comment += &format!(",k={key}");
             }
             let text = format!(
@@ -203,7 +203,7 @@
             );
             return (text, 64, None);
         }
-        if ask.group == Group::Own
+        if ask.class == RequestClass::Own
             && let Some(token) = self.carried.borrow().get(&client)
         {
             // One in three carries its token, one in twelve a forged one; the others none.
@@ -213,9 +213,9 @@
                 _ => {}
             }
         }
-        let owed = match ask.group {
-            Group::Board => Some(self.now() - 30_000),
-            Group::Own => {
+        let owed = match ask.class {
+            RequestClass::Board => Some(self.now() - 30_000),
+            RequestClass::Own => {
                 let tokens = self.tokens.borrow();
                 let known = tokens
                     .get(&client)
--- a/crates/simulator/src/course.rs
+++ b/crates/simulator/src/course.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 
 use crate::checker::{Checker, Effects};
-use crate::script::{Group, Scenario};
+use crate::gateway_script::{RequestClass, Scenario};
 use crate::world::{EventSource, Process, Role, Sim, UNIX};
 
 /// A keyed repeat is dropped for so long.
@@ -72,7 +72,7 @@
     pub(crate) work: (Ticks, Ticks),
 }
 
-pub(crate) fn facts(group: Group) -> Facts {
+pub(crate) fn facts(group: RequestClass) -> Facts {
     let of = |name, effects, timeout, target, benefit, late, work| Facts {
         name,
         effects,
@@ -83,7 +83,7 @@
         work,
     };
     match group {
-        Group::Board => of(
+        RequestClass::Board => of(
             "board",
             Effects::Replayable,
             20_000,
@@ -92,7 +92,7 @@
             0.0,
             (100, 300),
         ),
-        Group::Own => of(
+        RequestClass::Own => of(
             "own",
             Effects::Replayable,
             15_000,
@@ -101,7 +101,7 @@
             0.0,
             (80, 200),
         ),
-        Group::History => of(
+        RequestClass::History => of(
             "history",
             Effects::Replayable,
             12_000,
@@ -110,8 +110,8 @@
             0.0,
             (100, 300),
         ),
-        Group::Report => of("report", Effects::Keyed, 20_000, 3_000, 3.0, 0.3, (50, 150)),
-        Group::Order => of(
+        RequestClass::Report => of("report", Effects::Keyed, 20_000, 3_000, 3.0, 0.3, (50, 150)),
+        RequestClass::Order => of(
             "order",
             Effects::Mutating,
             20_000,
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/gateway_script.rs
@@ -79,28 +79,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
-    GatewayDies(usize),
-    GatewayReturns(usize),
+    GatewayCrashes(usize),
+    GatewayStarts(usize),
     /// SIGTERM, then a new start.
-    GatewayStops(usize),
+    GatewayShutsDown(usize),
     /// SIGHUP; the configuration names the agent's second address, or the first again.
-    GatewayRereads(usize, bool),
-    Silent(usize, bool),
-    MachineDies(usize),
-    MachineReturns(usize),
-    Drains(usize, bool),
-    Lags(usize, bool),
-    Spoils(usize, bool),
-    Resets(usize),
-    HandOver(usize),
-    AgentSilent(usize, bool),
+    GatewayReloads(usize, bool),
+    ServerUnreachable(usize, bool),
+    ServerCrashes(usize),
+    ServerStarts(usize),
+    ServerDrains(usize, bool),
+    ReplicaLags(usize, bool),
+    RepliesCorrupted(usize, bool),
+    ConnectionsReset(usize),
+    Switchover(usize),
+    AgentUnreachable(usize, bool),
     /// The list says that a machine that is there has gone, and then that it has not.
-    Lies(usize, bool),
+    ListedAsGone(usize, bool),
     ClockSteps(usize, Ticks),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum RequestClass {
     Board,
     Own,
     History,
@@ -109,10 +109,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ScriptedRequest {
     pub at: Ticks,
     pub client: usize,
-    pub group: Group,
+    pub class: RequestClass,
     pub set: usize,
     pub hangs_up: Option<Ticks>,
 }
@@ -120,8 +120,8 @@
 #[derive(Clone, Debug)]
 pub struct Script {
     pub faults: Vec<(Ticks, Fault)>,
-    pub asks: Vec<Ask>,
-    pub slow: Vec<bool>,
+    pub requests: Vec<ScriptedRequest>,
+    pub slow_clients: Vec<bool>,
     pub seconds: f64,
 }
 
@@ -163,49 +163,69 @@
         let gateways = self.gateways;
         plan(&mut chance, gateways, f.gateways_die, &|g, on| {
             if on {
-                Fault::GatewayDies(g)
+                Fault::GatewayCrashes(g)
             } else {
-                Fault::GatewayReturns(g)
+                Fault::GatewayStarts(g)
             }
         });
         plan(&mut chance, gateways, f.gateways_stop, &|g, on| {
             if on {
-                Fault::GatewayStops(g)
+                Fault::GatewayShutsDown(g)
             } else {
-                Fault::GatewayReturns(g)
+                Fault::GatewayStarts(g)
             }
         });
         plan(
             &mut chance,
             gateways,
             f.gateways_reread,
-            &Fault::GatewayRereads,
+            &Fault::GatewayReloads,
+        );
+        plan(
+            &mut chance,
+            machines,
+            f.machines_silent,
+            &Fault::ServerUnreachable,
         );
-        plan(&mut chance, machines, f.machines_silent, &Fault::Silent);
         let for_good = f.for_good;
         plan(&mut chance, machines, f.machines_die, &|m, on| {
             if on {
-                Fault::MachineDies(m)
+                Fault::ServerCrashes(m)
             } else {
-                Fault::MachineReturns(m)
+                Fault::ServerStarts(m)
             }
         });
-        plan(&mut chance, machines, f.machines_drain, &Fault::Drains);
-        plan(&mut chance, machines, f.replicas_lag, &Fault::Lags);
-        plan(&mut chance, machines, f.machines_spoil, &Fault::Spoils);
+        plan(
+            &mut chance,
+            machines,
+            f.machines_drain,
+            &Fault::ServerDrains,
+        );
+        plan(&mut chance, machines, f.replicas_lag, &Fault::ReplicaLags);
+        plan(
+            &mut chance,
+            machines,
+            f.machines_spoil,
+            &Fault::RepliesCorrupted,
+        );
         plan(&mut chance, machines, f.machines_reset, &|m, _| {
-            Fault::Resets(m)
+            Fault::ConnectionsReset(m)
         });
         plan(&mut chance, machines, f.hand_overs, &|m, _| {
-            Fault::HandOver(m)
+            Fault::Switchover(m)
         });
-        plan(&mut chance, gateways, f.agents_silent, &Fault::AgentSilent);
-        plan(&mut chance, machines, f.lists_lie, &Fault::Lies);
+        plan(
+            &mut chance,
+            gateways,
+            f.agents_silent,
+            &Fault::AgentUnreachable,
+        );
+        plan(&mut chance, machines, f.lists_lie, &Fault::ListedAsGone);
         plan(&mut chance, gateways, f.clocks_step, &|g, on| {
             Fault::ClockSteps(g, if on { 20_000 } else { 0 })
         });
         faults.retain(|(_, fault)| {
-            !matches!(fault, Fault::Silent(_, false)) || chance.f64() >= for_good
+            !matches!(fault, Fault::ServerUnreachable(_, false)) || chance.f64() >= for_good
         });
         if f.zone_lost > 0.0 && chance.f64() < f.zone_lost {
             let lost = chance.usize(..self.zones);
@@ -214,55 +234,59 @@
             for m in (0..machines).filter(|m| self.zone(m % self.machines_a_set) == lost) {
                 // One after the other, some hundred milliseconds apart, as machines start.
                 let until = until + chance.i64(0..5_000);
-                let (dies, heard) = (Fault::MachineDies(m), Fault::Silent(m, false));
+                let (dies, heard) = (Fault::ServerCrashes(m), Fault::ServerUnreachable(m, false));
                 let back = [
                     (until, dies),
                     (until + 1, heard),
-                    (until + 2, Fault::MachineReturns(m)),
+                    (until + 2, Fault::ServerStarts(m)),
                 ];
-                faults.extend([(at, Fault::Silent(m, true))].into_iter().chain(back));
+                faults.extend(
+                    [(at, Fault::ServerUnreachable(m, true))]
+                        .into_iter()
+                        .chain(back),
+                );
             }
             for g in (0..gateways).filter(|g| self.zone(*g) == lost) {
                 faults.extend([
-                    (at, Fault::GatewayDies(g)),
-                    (until, Fault::GatewayReturns(g)),
+                    (at, Fault::GatewayCrashes(g)),
+                    (until, Fault::GatewayStarts(g)),
                 ]);
             }
         }
         faults.sort_by_key(|(at, _)| *at);
         let many = within(&mut chance, self.commands) as usize;
         let slow = some(&mut chance, self.clients, f.clients_slow);
-        let mut asks: Vec<Ask> = (0..many)
+        let mut requests: Vec<ScriptedRequest> = (0..many)
             .map(|_| {
                 // Every table reports at the close, then everyone reloads.
                 let close = chance.u8(..2) == 0;
-                let (group, part) = match chance.u8(..20) {
-                    0..=6 if close => (Group::Report, [0.2, 0.3]),
-                    _ if close => (Group::Board, [0.3, 0.4]),
-                    0..=4 => (Group::Board, [0.0, 0.85]),
-                    5..=8 => (Group::Own, [0.0, 0.85]),
-                    9..=12 => (Group::History, [0.0, 0.85]),
-                    13..=17 => (Group::Report, [0.0, 0.85]),
-                    _ => (Group::Order, [0.0, 0.85]),
+                let (class, part) = match chance.u8(..20) {
+                    0..=6 if close => (RequestClass::Report, [0.2, 0.3]),
+                    _ if close => (RequestClass::Board, [0.3, 0.4]),
+                    0..=4 => (RequestClass::Board, [0.0, 0.85]),
+                    5..=8 => (RequestClass::Own, [0.0, 0.85]),
+                    9..=12 => (RequestClass::History, [0.0, 0.85]),
+                    13..=17 => (RequestClass::Report, [0.0, 0.85]),
+                    _ => (RequestClass::Order, [0.0, 0.85]),
                 };
                 let client = chance.usize(..self.clients);
                 let hangs_up = (chance.f64() < f.clients_hang_up).then(|| chance.i64(1..3_000));
                 let at = (end * within(&mut chance, part)) as Ticks;
-                Ask {
+                ScriptedRequest {
                     at,
                     client,
-                    group,
+                    class,
                     set: client % self.sets,
                     hangs_up,
                 }
             })
             .collect();
-        asks.sort_by_key(|ask| ask.at);
-        let slow = (0..self.clients).map(|c| slow.contains(&c)).collect();
+        requests.sort_by_key(|request| request.at);
+        let slow_clients = (0..self.clients).map(|c| slow.contains(&c)).collect();
         Script {
             faults,
-            asks,
-            slow,
+            requests,
+            slow_clients,
             seconds: self.seconds,
         }
     }
@@ -290,13 +314,13 @@
     ("cold-start", include_str!("../scenarios/cold-start.hcl")),
 ];
 
-pub fn names() -> impl Iterator<Item = (&'static str, Scenario)> {
+pub fn built_in_scenarios() -> impl Iterator<Item = (&'static str, Scenario)> {
     ALL.iter()
         .map(|(name, text)| (*name, hcl::from_str(text).expect("a scenario of our own")))
 }
 
 /// One of our own by its name, or one from a file.
-pub fn scenario(name: &str) -> Result<Scenario, String> {
+pub fn load_scenario(name: &str) -> Result<Scenario, String> {
     match ALL.iter().find(|(n, _)| *n == name) {
         Some((_, text)) => hcl::from_str(text).map_err(|e| format!("{name}: {e}")),
         None => {
--- a/crates/simulator/src/machines.rs
+++ b/crates/simulator/src/machines.rs
@@ -12,7 +12,7 @@
 
 use crate::checker::Outcome;
 use crate::course::{Play, address, facts};
-use crate::script::Group;
+use crate::gateway_script::RequestClass;
 use crate::talk::Talk;
 use crate::world::{EventSource, UNIX};
 
@@ -136,11 +136,11 @@
 
 fn work(group: &str) -> (Ticks, Ticks) {
     let groups = [
-        Group::Board,
-        Group::Own,
-        Group::History,
-        Group::Report,
-        Group::Order,
+        RequestClass::Board,
+        RequestClass::Own,
+        RequestClass::History,
+        RequestClass::Report,
+        RequestClass::Order,
     ];
     groups
         .into_iter()
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -9,7 +9,7 @@
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 use leverpoint_runtime::Instant;
 use leverpoint_simulator::outcome::Played;
-use leverpoint_simulator::scene::{self, Scene};
+use leverpoint_simulator::scenarios::{self, AnyScenario};
 use leverpoint_simulator::world::{Collisions, MEANINGS, Meaning};
 use leverpoint_simulator::{compare, shrink};
 use serde::Serialize;
@@ -178,7 +178,7 @@
         Asked::Plants { seeds } => {
             let mut all = true;
             for (name, scenario, found) in
-                leverpoint_simulator::plants::find_all(seeds, Instant::now())
+                leverpoint_simulator::planted_faults::find_all(seeds, Instant::now())
             {
                 let seeds = found
                     .as_ref()
@@ -196,7 +196,7 @@
             }
         }
         Asked::List => {
-            scene::names().for_each(|(name, scene)| println!("{name:18} {}", scene.about()));
+            scenarios::built_in().for_each(|(name, scene)| println!("{name:18} {}", scene.about()));
             ExitCode::SUCCESS
         }
     }
@@ -207,8 +207,8 @@
     seeds == "not found"
 }
 
-fn with(name: &str, then: impl FnOnce(&Scene) -> ExitCode) -> ExitCode {
-    match scene::scene(name) {
+fn with(name: &str, then: impl FnOnce(&AnyScenario) -> ExitCode) -> ExitCode {
+    match scenarios::load(name) {
         Ok(scene) => then(&scene),
         Err(why) => {
             eprintln!("leverpoint-simulator: {why}");
@@ -219,7 +219,7 @@
 
 fn run(
     name: &str,
-    scene: &Scene,
+    scene: &AnyScenario,
     (first, last): (u64, u64),
     jobs: usize,
     each: Option<&str>,
@@ -306,7 +306,7 @@
     }
 }
 
-fn replay(scene: &Scene, seed: u64, file: Option<&str>) -> ExitCode {
+fn replay(scene: &AnyScenario, seed: u64, file: Option<&str>) -> ExitCode {
     let played = scene.play(seed, Instant::now(), true);
     let text = played.trace.join("\n") + "\n";
     match file {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/member_fleet.rs
@@ -24,8 +24,8 @@
 use serde::Deserialize;
 
 use crate::checker::Broken;
-use crate::copies::{self, Load, Shelf, Truth};
 use crate::outcome::Played;
+use crate::replication_load::{self, Load, Shelf, Truth};
 use crate::world::{EventSource, Process, Role, Sim, Way};
 
 /// A member died, or was called gone, or came back: rules of a fleet, counted on from those of commands.
@@ -396,7 +396,7 @@
                 started.handle_admin_request(&AdminRequest::Bootstrap);
             }
             if let Some(load) = load {
-                copies::start(&sim, p, &started, &load, &truth, &shelf, lasts && !fresh);
+                replication_load::start(&sim, p, &started, &load, &truth, &shelf, lasts && !fresh);
             }
             *node.borrow_mut() = Some(started);
         };
@@ -413,7 +413,7 @@
         place.node.borrow_mut().take();
         if burnt {
             place.disk.borrow_mut().take();
-            *place.shelf.borrow_mut() = copies::Kept::default();
+            *place.shelf.borrow_mut() = replication_load::Kept::default();
         }
     }
 
@@ -801,7 +801,7 @@
     let meets = run.bound() + TERMS.join_delay + TERMS.probe_interval * 3 * (members as Ticks + 8);
     let end = last
         + if scenario.copies.is_some() {
-            copies::AFTERWARDS
+            replication_load::AFTERWARDS
         } else {
             meets
         };
--- a/crates/simulator/src/plants.rs
+++ b/crates/simulator/src/planted_faults.rs
@@ -5,7 +5,7 @@
 use leverpoint_runtime::{Instant, set_failpoint};
 
 use crate::checker::Broken;
-use crate::scene::scene;
+use crate::scenarios;
 
 /// Name, and the scenario that is meant to find it.
 pub const PLANTS: [(&str, &str); 30] = [
@@ -43,7 +43,7 @@
 
 /// How many seeds from 0 on it takes, and what they find.
 pub fn find(plant: &'static str, name: &str, most: u64, base: Instant) -> Option<(u64, Broken)> {
-    let scene = scene(name).expect("a scenario of our own");
+    let scene = scenarios::load(name).expect("a scenario of our own");
     set_failpoint(Some(plant));
     let found = (0..most).find_map(|seed| {
         let broken = scene.play(seed, base, false).broken?;
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -14,8 +14,8 @@
 use crate::course::{
     AFTERWARDS, BUILD, CLIENTS, GRACE, LATENCY, LONGEST, Place, Play, STARTS, WINDOW,
 };
+use crate::gateway_script::{Fault, Scenario, Script};
 use crate::outcome::Played;
-use crate::script::{Fault, Scenario, Script};
 use crate::world::{EventSource, Meaning, Process, Role, Sim};
 
 impl Play {
@@ -35,12 +35,12 @@
             .record(EventSource::Fault, fault, || format!("{fault:?}"));
         let now = self.now();
         match fault {
-            Fault::GatewayDies(n) => self.kill_gateway(n),
-            Fault::GatewayReturns(n) => {
+            Fault::GatewayCrashes(n) => self.kill_gateway(n),
+            Fault::GatewayStarts(n) => {
                 self.kill_gateway(n);
                 self.start_gateway(n);
             }
-            Fault::GatewayStops(n) => {
+            Fault::GatewayShutsDown(n) => {
                 let gateway = self.gateways.borrow()[n].clone();
                 if let Some(gateway) = gateway {
                     let process = self.gateway_process(n);
@@ -48,22 +48,22 @@
                         .spawn_in(process, Box::pin(async move { gateway.shut_down().await }));
                 }
             }
-            Fault::GatewayRereads(n, second) => {
+            Fault::GatewayReloads(n, second) => {
                 self.place.agent_moved.borrow_mut()[n] = second;
                 let gateway = self.gateways.borrow()[n].clone();
                 gateway
                     .into_iter()
                     .for_each(|gateway| gateway.apply_configuration(Ok(self.node(n, second))));
             }
-            Fault::Silent(m, silent) => {
+            Fault::ServerUnreachable(m, silent) => {
                 self.health(m, if silent { Health::Silent } else { Health::Up });
                 self.sim.set_silent(self.machine_process(m), silent);
             }
-            Fault::MachineDies(m) => {
+            Fault::ServerCrashes(m) => {
                 self.health(m, Health::Down);
                 self.sim.kill(self.machine_process(m));
             }
-            Fault::MachineReturns(m) => {
+            Fault::ServerStarts(m) => {
                 // A machine is listed as it starts, and serves a moment later.
                 self.health(m, Health::Up);
                 self.sim.begin(self.machine_process(m), Role::Machine);
@@ -75,17 +75,17 @@
                 };
                 self.sim.spawn_in(self.machine_process(m), Box::pin(starts));
             }
-            Fault::Drains(m, on) => {
+            Fault::ServerDrains(m, on) => {
                 let (set, member) = self.set_of(m);
                 self.place.sets.borrow_mut()[set].drain(member, on);
                 self.publish_role(now, m, if on { Phase::Draining } else { Phase::Up });
             }
-            Fault::Lags(m, on) => {
+            Fault::ReplicaLags(m, on) => {
                 let (set, member) = self.set_of(m);
                 self.place.sets.borrow_mut()[set].pause_replay(now, member, on);
             }
-            Fault::Spoils(m, on) => self.place.spoils.borrow_mut()[m] = on,
-            Fault::Resets(m) => {
+            Fault::RepliesCorrupted(m, on) => self.place.spoils.borrow_mut()[m] = on,
+            Fault::ConnectionsReset(m) => {
                 // All its connections break; the machine goes on.
                 let process = self.machine_process(m);
                 if self.sim.alive(process) {
@@ -97,7 +97,7 @@
                         .spawn_in(process, Box::pin(self.clone().machine(m)));
                 }
             }
-            Fault::HandOver(m) => {
+            Fault::Switchover(m) => {
                 let (set, member) = self.set_of(m);
                 let before = self.place.sets.borrow()[set].primary();
                 if let Some(before) = before {
@@ -108,8 +108,8 @@
                 }
                 self.publish_role(now, m, Phase::Up);
             }
-            Fault::AgentSilent(n, on) => self.agent_silent(n, on),
-            Fault::Lies(m, on) => {
+            Fault::AgentUnreachable(n, on) => self.agent_silent(n, on),
+            Fault::ListedAsGone(m, on) => {
                 self.publish_role(now, m, if on { Phase::Removed } else { Phase::Up });
             }
             Fault::ClockSteps(n, off) => self.sim.set_clock_off(self.gateway_process(n), off),
@@ -119,8 +119,8 @@
     /// Which gateway a fault meets as a signal.
     fn meets(&self, fault: &Fault) -> Option<(Process, Meaning)> {
         match fault {
-            Fault::GatewayStops(n) => Some((self.gateway_process(*n), Meaning::Stop)),
-            Fault::GatewayRereads(n, _) => Some((self.gateway_process(*n), Meaning::Reread)),
+            Fault::GatewayShutsDown(n) => Some((self.gateway_process(*n), Meaning::Stop)),
+            Fault::GatewayReloads(n, _) => Some((self.gateway_process(*n), Meaning::Reread)),
             _ => None,
         }
     }
@@ -214,9 +214,9 @@
         }
         play.start_gateway(n);
     }
-    for (n, slow) in script.slow.iter().enumerate() {
+    for (n, slow) in script.slow_clients.iter().enumerate() {
         let asks = script
-            .asks
+            .requests
             .iter()
             .filter(|ask| ask.client == n)
             .copied()
--- a/crates/simulator/src/scene.rs
+++ b/crates/simulator/src/scenarios.rs
@@ -5,12 +5,12 @@
 use leverpoint_runtime::Instant;
 
 use crate::outcome::Played;
-use crate::{fleet, play, script};
+use crate::{gateway_script, member_fleet, play};
 
 #[derive(Clone, Debug)]
-pub enum Scene {
-    Gateways(script::Scenario),
-    Members(fleet::Scenario),
+pub enum AnyScenario {
+    Gateways(gateway_script::Scenario),
+    Members(member_fleet::Scenario),
 }
 
 const MEMBERS: [(&str, &str); 8] = [
@@ -42,14 +42,15 @@
     ("copies-keys", include_str!("../scenarios/copies-keys.hcl")),
 ];
 
-fn members(text: &str) -> Result<Scene, String> {
+fn members(text: &str) -> Result<AnyScenario, String> {
     hcl::from_str(text)
-        .map(Scene::Members)
+        .map(AnyScenario::Members)
         .map_err(|e| e.to_string())
 }
 
-pub fn names() -> impl Iterator<Item = (&'static str, Scene)> {
-    let gateways = script::names().map(|(name, scenario)| (name, Scene::Gateways(scenario)));
+pub fn built_in() -> impl Iterator<Item = (&'static str, AnyScenario)> {
+    let gateways = gateway_script::built_in_scenarios()
+        .map(|(name, scenario)| (name, AnyScenario::Gateways(scenario)));
     gateways.chain(
         MEMBERS
             .iter()
@@ -58,7 +59,7 @@
 }
 
 /// One of our own by its name, or one from a file, whose words tell its kind.
-pub fn scene(name: &str) -> Result<Scene, String> {
+pub fn load(name: &str) -> Result<AnyScenario, String> {
     if let Some((_, text)) = MEMBERS.iter().find(|(n, _)| *n == name) {
         return members(text);
     }
@@ -67,25 +68,25 @@
     {
         return members(&text).map_err(|e| format!("{name}: {e}"));
     }
-    script::scenario(name).map(Scene::Gateways)
+    gateway_script::load_scenario(name).map(AnyScenario::Gateways)
 }
 
-impl Scene {
+impl AnyScenario {
     pub fn about(&self) -> &str {
         match self {
-            Scene::Gateways(scenario) => &scenario.about,
-            Scene::Members(scenario) => &scenario.about,
+            AnyScenario::Gateways(scenario) => &scenario.about,
+            AnyScenario::Members(scenario) => &scenario.about,
         }
     }
 
     /// Plays the script that a seed makes.
     pub fn play(&self, seed: u64, base: Instant, traced: bool) -> Played {
         match self {
-            Scene::Gateways(scenario) => {
+            AnyScenario::Gateways(scenario) => {
                 play::play(scenario, &scenario.script(seed), seed, base, traced)
             }
-            Scene::Members(scenario) => {
-                fleet::play(scenario, &scenario.script(seed), seed, base, traced)
+            AnyScenario::Members(scenario) => {
+                member_fleet::play(scenario, &scenario.script(seed), seed, base, traced)
             }
         }
     }
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -6,10 +6,10 @@
 
 use leverpoint_runtime::Instant;
 
-use crate::fleet;
+use crate::gateway_script::{Scenario, Script};
+use crate::member_fleet;
 use crate::play::play;
-use crate::scene::Scene;
-use crate::script::{Scenario, Script};
+use crate::scenarios::AnyScenario;
 
 /// Drops halves, quarters and so on of a list for as long as `still` holds of what is left.
 fn drop_parts<T: Clone>(all: &mut Vec<T>, still: &mut dyn FnMut(&[T]) -> bool) {
@@ -30,21 +30,21 @@
 }
 
 /// The smallest script found, as text.
-pub fn shrink(scene: &Scene, seed: u64, base: Instant) -> String {
+pub fn shrink(scene: &AnyScenario, seed: u64, base: Instant) -> String {
     match scene {
-        Scene::Gateways(scenario) => gateways(scenario, seed, base),
-        Scene::Members(scenario) => members(scenario, seed, base),
+        AnyScenario::Gateways(scenario) => gateways(scenario, seed, base),
+        AnyScenario::Members(scenario) => members(scenario, seed, base),
     }
 }
 
-fn members(scenario: &fleet::Scenario, seed: u64, base: Instant) -> String {
+fn members(scenario: &member_fleet::Scenario, seed: u64, base: Instant) -> String {
     let whole = scenario.script(seed);
     let breaks = |faults: &[_]| {
-        let script = fleet::Script {
+        let script = member_fleet::Script {
             members: whole.members,
             faults: faults.to_vec(),
         };
-        fleet::play(scenario, &script, seed, base, false)
+        member_fleet::play(scenario, &script, seed, base, false)
             .broken
             .map(|b| b.rule)
     };
@@ -75,18 +75,18 @@
     };
     // Shrinking one list may let the other shrink further.
     for _ in 0..2 {
-        let whole = script.clone();
+        let base_script = script.clone();
         drop_parts(&mut script.faults, &mut |faults| {
             breaks(&Script {
                 faults: faults.to_vec(),
-                ..whole.clone()
+                ..base_script.clone()
             }) == Some(rule)
         });
-        let whole = script.clone();
-        drop_parts(&mut script.asks, &mut |asks| {
+        let base_script = script.clone();
+        drop_parts(&mut script.requests, &mut |requests| {
             breaks(&Script {
-                asks: asks.to_vec(),
-                ..whole.clone()
+                requests: requests.to_vec(),
+                ..base_script.clone()
             }) == Some(rule)
         });
     }
@@ -94,14 +94,14 @@
     for (at, fault) in &script.faults {
         let _ = writeln!(out, "{:>9.1} {fault:?}", *at as f64 / 10.0);
     }
-    for ask in &script.asks {
+    for request in &script.requests {
         let _ = writeln!(
             out,
             "{:>9.1} client {} asks {:?} of set {}",
-            ask.at as f64 / 10.0,
-            ask.client,
-            ask.group,
-            ask.set
+            request.at as f64 / 10.0,
+            request.client,
+            request.class,
+            request.set
         );
     }
     out
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -6,15 +6,15 @@
 };
 use leverpoint_runtime::Instant;
 use leverpoint_simulator::checker::{Checker, Effects, Final, Outcome};
+use leverpoint_simulator::gateway_script::{built_in_scenarios, load_scenario};
 use leverpoint_simulator::play::play;
-use leverpoint_simulator::scene;
-use leverpoint_simulator::script::{names, scenario};
+use leverpoint_simulator::scenarios;
 use leverpoint_test_support::values::expected_value;
 
 #[test]
 fn every_scenario_keeps_every_rule_over_ten_seeds() {
     let base = Instant::now();
-    for (name, scenario) in names() {
+    for (name, scenario) in built_in_scenarios() {
         for seed in 0..10 {
             let played = play(&scenario, &scenario.script(seed), seed, base, false);
             assert_eq!(
@@ -32,7 +32,7 @@
 #[test]
 fn fleets_keep_their_rules_over_ten_seeds_and_one_seed_gives_one_trace() {
     let base = Instant::now();
-    for (name, scene) in scene::names().filter(|(name, _)| name.starts_with("members")) {
+    for (name, scene) in scenarios::built_in().filter(|(name, _)| name.starts_with("members")) {
         for seed in 0..10 {
             let played = scene.play(seed, base, false);
             assert_eq!(
@@ -54,7 +54,7 @@
 #[test]
 fn what_is_copied_is_there_and_one_seed_gives_one_trace() {
     let base = Instant::now();
-    for (name, scene) in scene::names().filter(|(name, _)| name.starts_with("copies")) {
+    for (name, scene) in scenarios::built_in().filter(|(name, _)| name.starts_with("copies")) {
         // A seed takes seconds without optimisation: .ci/run plays many with it.
         let played = scene.play(1, base, false);
         assert_eq!(
@@ -66,7 +66,7 @@
             "{name}: {played:?}"
         );
     }
-    let loss = scene::scene("copies-loss").unwrap();
+    let loss = scenarios::load("copies-loss").unwrap();
     assert_eq!(
         loss.play(1, base, true).trace,
         loss.play(1, base, true).trace
@@ -76,7 +76,7 @@
 /// Two members go by different layouts of one version.
 #[test]
 fn copies_layout_keeps_every_rule_at_seed_220() {
-    let scene = scene::scene("copies-layout").unwrap();
+    let scene = scenarios::load("copies-layout").unwrap();
     let played = scene.play(220, Instant::now(), false);
     assert_eq!(
         played.broken, None,
@@ -87,7 +87,7 @@
 /// A session's read went to a replica without a check of its own before the position of its write was known.
 #[test]
 fn lists_lie_keeps_every_rule_at_seeds_with_a_read_right_behind_a_write() {
-    let scene = scene::scene("lists-lie").unwrap();
+    let scene = scenarios::load("lists-lie").unwrap();
     for seed in [22518, 28520, 34367] {
         let played = scene.play(seed, Instant::now(), false);
         assert_eq!(
@@ -99,7 +99,7 @@
 
 #[test]
 fn one_seed_gives_one_trace_whenever_it_is_played() {
-    let scenario = scenario("round-close").unwrap();
+    let scenario = load_scenario("round-close").unwrap();
     let of = |seed, traced| {
         play(
             &scenario,
@@ -118,7 +118,7 @@
 
 #[test]
 fn the_first_lines_of_a_trace_read_like_this() {
-    let scenario = scenario("failover").unwrap();
+    let scenario = load_scenario("failover").unwrap();
     let played = play(&scenario, &scenario.script(3), 3, Instant::now(), true);
     let of = |what: &str| {
         played
@@ -296,7 +296,9 @@
 #[cfg(feature = "plants")]
 #[test]
 fn every_planted_fault_is_found() {
-    for (plant, scenario, found) in leverpoint_simulator::plants::find_all(200, Instant::now()) {
+    for (plant, scenario, found) in
+        leverpoint_simulator::planted_faults::find_all(200, Instant::now())
+    {
         assert!(found.is_some(), "{plant} is not found by {scenario}");
     }
 }
