--- a/crates/simulator/src/gateway_script.rs
+++ b/crates/simulator/src/gateway_script.rs
@@ -1,89 +1,117 @@
-//! Owns scenarios, as HCL with ranges, and the script that a seed makes of one: who asks what when, what fails when.
+//! Scenarios with gateways, read from HCL, and the script that a seed generates from one: which client sends which
+//! request when, and which faults are injected when.
 //!
-//! A script is data: dropping parts of it leaves the rest as it was. It must never depend on how a run goes.
+//! # Invariants
+//!
+//! - A script is plain data. Removing entries from it leaves the others unchanged, which shrinking relies on.
+//! - A script is complete before the run begins and does not depend on how the run goes.
 
 use fastrand::Rng;
 use leverpoint_cluster_model::Ticks;
 use serde::Deserialize;
 
-/// Lowest and highest; a seed takes one between.
+/// Lower and upper bound; each seed draws a value between them.
 type Range = [f64; 2];
 
+/// A scenario with gateways, clients, discovery agents and database servers. The fields are the keys of its HCL file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// One-line description, printed by `list`.
     pub about: String,
     pub gateways: usize,
+    /// Number of replica sets.
     pub sets: usize,
+    /// Database servers in each replica set.
     pub machines_a_set: usize,
     pub clients: usize,
+    /// Number of requests of all clients together.
     pub commands: Range,
+    /// Simulated time in which requests are sent and faults begin.
     pub seconds: f64,
-    /// Whether members check how far they have applied: "refuse" or "none".
-    #[serde(default = "refuse")]
+    /// Whether a server rejects a read whose required replication position it has not applied yet: "refuse", or
+    /// "none" for no check.
+    #[serde(default = "default_check")]
     pub check: String,
-    /// Sessions are followed over all gateways; a client moves to another one before so many of its commands.
+    /// Whether sessions are tracked across all gateways.
     #[serde(default)]
     pub sessions: bool,
+    /// Fraction of its requests before which a client switches to another gateway.
     #[serde(default)]
     pub roams: f64,
-    /// A gateway's descriptors.
-    #[serde(default = "descriptors")]
+    /// File descriptors available to each gateway.
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Gateways, and the members of each set, stand in so many zones in turn.
-    #[serde(default = "one")]
+    /// Number of zones; gateways, and the servers of each set, are assigned to them round-robin.
+    #[serde(default = "default_zones")]
     pub zones: usize,
     #[serde(default)]
-    pub fails: Fails,
+    pub fails: FaultRates,
 }
 
-fn descriptors() -> usize {
+fn default_sockets() -> usize {
     256
 }
 
-fn one() -> usize {
+fn default_zones() -> usize {
     1
 }
 
-fn refuse() -> String {
+fn default_check() -> String {
     "refuse".into()
 }
 
-/// Shares of what there is, each with when it may happen in parts of the time, and for how long in seconds.
+/// Fault rates. For most faults a rate is the largest fraction of the gateways or servers that a script may select;
+/// a selected one fails between 10 % and 60 % of the run.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fails {
-    /// Gateways that die and return; machines that go silent, die, drain, lag, spoil their answers.
+pub struct FaultRates {
+    /// Gateways that crash and start again.
     pub gateways_die: f64,
+    /// Gateways that get SIGTERM and start again.
     pub gateways_stop: f64,
-    /// Gateways whose configuration is replaced, so that discovery is elsewhere, and that get SIGHUP.
+    /// Gateways whose configuration is replaced by one with another discovery address and that get SIGHUP.
     pub gateways_reread: f64,
+    /// Servers that are cut off from the network; their connections are reset when they are reachable again.
     pub machines_silent: f64,
     pub machines_die: f64,
     pub machines_drain: f64,
+    /// Servers that pause replay.
     pub replicas_lag: f64,
+    /// Servers that send corrupted replies.
     pub machines_spoil: f64,
+    /// Servers that lose all their connections at once.
     pub machines_reset: f64,
+    /// Servers to which the primary role of their replica set is switched over.
     pub hand_overs: f64,
-    /// How likely a whole zone falls silent and returns, its machines cold, its gateways new.
+    /// Probability that one whole zone becomes unreachable and returns with restarted gateways and cold servers.
     pub zone_lost: f64,
+    /// Discovery agents that receive no updates and answer no calls.
     pub agents_silent: f64,
+    /// Servers that endpoint lists report as gone although they are running.
     pub lists_lie: f64,
+    /// Gateways whose clock jumps two seconds ahead and later returns to the true time.
     pub clocks_step: f64,
+    /// Clients that read 64 bytes at a time.
     pub clients_slow: f64,
+    /// Probability that a client closes its connection within 300 ms of a request.
     pub clients_hang_up: f64,
-    /// Part of the silent machines that never come back.
+    /// Probability that a server that was cut off never becomes reachable again.
     pub for_good: f64,
+    /// Duration of a fault in seconds, [0.2, 1.5] by default.
     pub lasts: Option<Range>,
 }
 
+/// A fault or its end. A number is the index of a gateway, its agent or a server; a flag says whether the fault begins.
+///
+/// The order of the variants goes into the digest of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
     GatewayCrashes(usize),
     GatewayStarts(usize),
-    /// SIGTERM, then a new start.
+    /// SIGTERM; a start follows later.
     GatewayShutsDown(usize),
-    /// SIGHUP; the configuration names the agent's second address, or the first again.
+    /// SIGHUP with a configuration that names the agent's second address (`true`) or its first.
     GatewayReloads(usize, bool),
     ServerUnreachable(usize, bool),
     ServerCrashes(usize),
@@ -91,162 +119,189 @@
     ServerDrains(usize, bool),
     ReplicaLags(usize, bool),
     RepliesCorrupted(usize, bool),
+    /// All connections of a server break; the server itself goes on.
     ConnectionsReset(usize),
+    /// The primary role of the server's replica set moves to it.
     Switchover(usize),
     AgentUnreachable(usize, bool),
-    /// The list says that a machine that is there has gone, and then that it has not.
+    /// The endpoint list reports a running server as gone, and later as present again.
     ListedAsGone(usize, bool),
+    /// A gateway's clock is set to this offset from the true time.
     ClockSteps(usize, Ticks),
 }
 
+/// The request classes that clients of the simulator use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
+    /// Reads the leaderboard; replayable.
     Board,
+    /// Reads the client's own entries; replayable.
     Own,
+    /// Reads past results; replayable.
     History,
+    /// Writes with an idempotency key.
     Report,
+    /// Writes without an idempotency key, so it may not be retried once it may have run.
     Order,
 }
 
+/// One request of a script.
 #[derive(Clone, Copy, Debug)]
 pub struct ScriptedRequest {
+    /// When the client is to send it; later if its previous request is still open.
     pub at: Ticks,
     pub client: usize,
     pub class: RequestClass,
     pub set: usize,
+    /// After this time the client closes the connection.
     pub hangs_up: Option<Ticks>,
 }
 
+/// The faults and requests of one run, each in order of time.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub faults: Vec<(Ticks, Fault)>,
     pub requests: Vec<ScriptedRequest>,
+    /// By client: whether it reads slowly.
     pub slow_clients: Vec<bool>,
     pub seconds: f64,
 }
 
-fn within(chance: &mut Rng, range: Range) -> f64 {
-    range[0] + (range[1] - range[0]) * chance.f64()
+fn sample(rng: &mut Rng, range: Range) -> f64 {
+    range[0] + (range[1] - range[0]) * rng.f64()
 }
 
-/// So many of `n`, by chance, without repeats.
-fn some(chance: &mut Rng, n: usize, share: f64) -> Vec<usize> {
+/// A random subset of the indices below `n`, at most the fraction `share` of them.
+fn random_subset(rng: &mut Rng, n: usize, share: f64) -> Vec<usize> {
     let mut all: Vec<usize> = (0..n).collect();
-    chance.shuffle(&mut all);
-    let many = (n as f64 * share * chance.f64()).round() as usize;
-    all.truncate(many);
+    rng.shuffle(&mut all);
+    let count = (n as f64 * share * rng.f64()).round() as usize;
+    all.truncate(count);
     all
 }
 
 impl Scenario {
+    /// The zone of a gateway, or of a server by its index in its replica set.
     pub fn zone(&self, n: usize) -> usize {
         n % self.zones
     }
 
+    /// Generates the script for a seed; the same seed always gives the same script.
     pub fn script(&self, seed: u64) -> Script {
-        let mut chance = Rng::with_seed(seed ^ 0x5c71_9700);
+        let mut rng = Rng::with_seed(seed ^ 0x5c71_9700);
         let end = self.seconds * 1e4;
-        let machines = self.sets * self.machines_a_set;
+        let server_count = self.sets * self.machines_a_set;
         let mut faults = Vec::new();
-        let f = &self.fails;
-        let lasts = f.lasts.unwrap_or([0.2, 1.5]);
-        let mut plan =
-            |chance: &mut Rng, n: usize, share: f64, make: &dyn Fn(usize, bool) -> Fault| {
-                for which in some(chance, n, share) {
-                    // The round closes a quarter into the time; most of what fails does so then.
-                    let at = end * within(chance, [0.1, 0.6]);
-                    let until = at + 1e4 * within(chance, lasts);
-                    faults.push((at as Ticks, make(which, true)));
-                    faults.push((until as Ticks, make(which, false)));
+        let rates = &self.fails;
+        let duration = rates.lasts.unwrap_or([0.2, 1.5]);
+        let mut schedule =
+            |rng: &mut Rng, n: usize, share: f64, build_fault: &dyn Fn(usize, bool) -> Fault| {
+                for target in random_subset(rng, n, share) {
+                    // The round closes a quarter into the run; the window puts most faults near that time.
+                    let at = end * sample(rng, [0.1, 0.6]);
+                    let until = at + 1e4 * sample(rng, duration);
+                    faults.push((at as Ticks, build_fault(target, true)));
+                    faults.push((until as Ticks, build_fault(target, false)));
                 }
             };
         let gateways = self.gateways;
-        plan(&mut chance, gateways, f.gateways_die, &|g, on| {
+        schedule(&mut rng, gateways, rates.gateways_die, &|g, on| {
             if on {
                 Fault::GatewayCrashes(g)
             } else {
                 Fault::GatewayStarts(g)
             }
         });
-        plan(&mut chance, gateways, f.gateways_stop, &|g, on| {
+        schedule(&mut rng, gateways, rates.gateways_stop, &|g, on| {
             if on {
                 Fault::GatewayShutsDown(g)
             } else {
                 Fault::GatewayStarts(g)
             }
         });
-        plan(
-            &mut chance,
+        schedule(
+            &mut rng,
             gateways,
-            f.gateways_reread,
+            rates.gateways_reread,
             &Fault::GatewayReloads,
         );
-        plan(
-            &mut chance,
-            machines,
-            f.machines_silent,
+        schedule(
+            &mut rng,
+            server_count,
+            rates.machines_silent,
             &Fault::ServerUnreachable,
         );
-        let for_good = f.for_good;
-        plan(&mut chance, machines, f.machines_die, &|m, on| {
+        let for_good = rates.for_good;
+        schedule(&mut rng, server_count, rates.machines_die, &|m, on| {
             if on {
                 Fault::ServerCrashes(m)
             } else {
                 Fault::ServerStarts(m)
             }
         });
-        plan(
-            &mut chance,
-            machines,
-            f.machines_drain,
+        schedule(
+            &mut rng,
+            server_count,
+            rates.machines_drain,
             &Fault::ServerDrains,
         );
-        plan(&mut chance, machines, f.replicas_lag, &Fault::ReplicaLags);
-        plan(
-            &mut chance,
-            machines,
-            f.machines_spoil,
+        schedule(
+            &mut rng,
+            server_count,
+            rates.replicas_lag,
+            &Fault::ReplicaLags,
+        );
+        schedule(
+            &mut rng,
+            server_count,
+            rates.machines_spoil,
             &Fault::RepliesCorrupted,
         );
-        plan(&mut chance, machines, f.machines_reset, &|m, _| {
+        schedule(&mut rng, server_count, rates.machines_reset, &|m, _| {
             Fault::ConnectionsReset(m)
         });
-        plan(&mut chance, machines, f.hand_overs, &|m, _| {
+        schedule(&mut rng, server_count, rates.hand_overs, &|m, _| {
             Fault::Switchover(m)
         });
-        plan(
-            &mut chance,
+        schedule(
+            &mut rng,
             gateways,
-            f.agents_silent,
+            rates.agents_silent,
             &Fault::AgentUnreachable,
         );
-        plan(&mut chance, machines, f.lists_lie, &Fault::ListedAsGone);
-        plan(&mut chance, gateways, f.clocks_step, &|g, on| {
+        schedule(
+            &mut rng,
+            server_count,
+            rates.lists_lie,
+            &Fault::ListedAsGone,
+        );
+        schedule(&mut rng, gateways, rates.clocks_step, &|g, on| {
             Fault::ClockSteps(g, if on { 20_000 } else { 0 })
         });
         faults.retain(|(_, fault)| {
-            !matches!(fault, Fault::ServerUnreachable(_, false)) || chance.f64() >= for_good
+            !matches!(fault, Fault::ServerUnreachable(_, false)) || rng.f64() >= for_good
         });
-        if f.zone_lost > 0.0 && chance.f64() < f.zone_lost {
-            let lost = chance.usize(..self.zones);
-            let at = (end * within(&mut chance, [0.15, 0.3])) as Ticks;
-            let until = at + (1e4 * within(&mut chance, lasts)) as Ticks;
-            for m in (0..machines).filter(|m| self.zone(m % self.machines_a_set) == lost) {
-                // One after the other, some hundred milliseconds apart, as machines start.
-                let until = until + chance.i64(0..5_000);
-                let (dies, heard) = (Fault::ServerCrashes(m), Fault::ServerUnreachable(m, false));
-                let back = [
-                    (until, dies),
-                    (until + 1, heard),
+        if rates.zone_lost > 0.0 && rng.f64() < rates.zone_lost {
+            let lost_zone = rng.usize(..self.zones);
+            let at = (end * sample(&mut rng, [0.15, 0.3])) as Ticks;
+            let until = at + (1e4 * sample(&mut rng, duration)) as Ticks;
+            for m in (0..server_count).filter(|m| self.zone(m % self.machines_a_set) == lost_zone) {
+                // Servers of a zone do not start at the same instant: spread over up to 500 ms.
+                let until = until + rng.i64(0..5_000);
+                let (crash, reachable) =
+                    (Fault::ServerCrashes(m), Fault::ServerUnreachable(m, false));
+                let recovery = [
+                    (until, crash),
+                    (until + 1, reachable),
                     (until + 2, Fault::ServerStarts(m)),
                 ];
                 faults.extend(
                     [(at, Fault::ServerUnreachable(m, true))]
                         .into_iter()
-                        .chain(back),
+                        .chain(recovery),
                 );
             }
-            for g in (0..gateways).filter(|g| self.zone(*g) == lost) {
+            for g in (0..gateways).filter(|g| self.zone(*g) == lost_zone) {
                 faults.extend([
                     (at, Fault::GatewayCrashes(g)),
                     (until, Fault::GatewayStarts(g)),
@@ -254,24 +309,24 @@
             }
         }
         faults.sort_by_key(|(at, _)| *at);
-        let many = within(&mut chance, self.commands) as usize;
-        let slow = some(&mut chance, self.clients, f.clients_slow);
-        let mut requests: Vec<ScriptedRequest> = (0..many)
+        let request_count = sample(&mut rng, self.commands) as usize;
+        let slow_indices = random_subset(&mut rng, self.clients, rates.clients_slow);
+        let mut requests: Vec<ScriptedRequest> = (0..request_count)
             .map(|_| {
-                // Every table reports at the close, then everyone reloads.
-                let close = chance.u8(..2) == 0;
-                let (class, part) = match chance.u8(..20) {
-                    0..=6 if close => (RequestClass::Report, [0.2, 0.3]),
-                    _ if close => (RequestClass::Board, [0.3, 0.4]),
+                // Half of the requests belong to the close of a round: reports first, then reads of the leaderboard.
+                let round_close = rng.u8(..2) == 0;
+                let (class, window) = match rng.u8(..20) {
+                    0..=6 if round_close => (RequestClass::Report, [0.2, 0.3]),
+                    _ if round_close => (RequestClass::Board, [0.3, 0.4]),
                     0..=4 => (RequestClass::Board, [0.0, 0.85]),
                     5..=8 => (RequestClass::Own, [0.0, 0.85]),
                     9..=12 => (RequestClass::History, [0.0, 0.85]),
                     13..=17 => (RequestClass::Report, [0.0, 0.85]),
                     _ => (RequestClass::Order, [0.0, 0.85]),
                 };
-                let client = chance.usize(..self.clients);
-                let hangs_up = (chance.f64() < f.clients_hang_up).then(|| chance.i64(1..3_000));
-                let at = (end * within(&mut chance, part)) as Ticks;
+                let client = rng.usize(..self.clients);
+                let hangs_up = (rng.f64() < rates.clients_hang_up).then(|| rng.i64(1..3_000));
+                let at = (end * sample(&mut rng, window)) as Ticks;
                 ScriptedRequest {
                     at,
                     client,
@@ -282,7 +337,9 @@
             })
             .collect();
         requests.sort_by_key(|request| request.at);
-        let slow_clients = (0..self.clients).map(|c| slow.contains(&c)).collect();
+        let slow_clients = (0..self.clients)
+            .map(|c| slow_indices.contains(&c))
+            .collect();
         Script {
             faults,
             requests,
@@ -292,7 +349,7 @@
     }
 }
 
-const ALL: [(&str, &str); 13] = [
+const BUILT_IN: [(&str, &str); 13] = [
     ("round-close", include_str!("../scenarios/round-close.hcl")),
     ("calm", include_str!("../scenarios/calm.hcl")),
     ("failover", include_str!("../scenarios/failover.hcl")),
@@ -314,14 +371,23 @@
     ("cold-start", include_str!("../scenarios/cold-start.hcl")),
 ];
 
+/// The scenarios compiled into the program, by name.
 pub fn built_in_scenarios() -> impl Iterator<Item = (&'static str, Scenario)> {
-    ALL.iter()
-        .map(|(name, text)| (*name, hcl::from_str(text).expect("a scenario of our own")))
+    BUILT_IN.iter().map(|(name, text)| {
+        (
+            *name,
+            hcl::from_str(text).expect("a built-in scenario is valid"),
+        )
+    })
 }
 
-/// One of our own by its name, or one from a file.
+/// A built-in scenario by its name, or one from the HCL file at that path.
+///
+/// # Errors
+///
+/// When the file cannot be read or is not a valid scenario.
 pub fn load_scenario(name: &str) -> Result<Scenario, String> {
-    match ALL.iter().find(|(n, _)| *n == name) {
+    match BUILT_IN.iter().find(|(n, _)| *n == name) {
         Some((_, text)) => hcl::from_str(text).map_err(|e| format!("{name}: {e}")),
         None => {
             let text = std::fs::read_to_string(name).map_err(|e| format!("{name}: {e}"))?;
--- a/crates/simulator/src/member_fleet.rs
+++ b/crates/simulator/src/member_fleet.rs
@@ -25,7 +25,7 @@
 
 use crate::checker::Broken;
 use crate::outcome::Played;
-use crate::replication_load::{self, Load, Shelf, Truth};
+use crate::replication_load::{self, Load, Oracle, SharedDisk};
 use crate::world::{EventSource, Process, Role, Sim, Way};
 
 /// A member died, or was called gone, or came back: rules of a fleet, counted on from those of commands.
@@ -264,7 +264,7 @@
     process: Process,
     node: Rc<RefCell<Option<Rc<MemberRuntime>>>>,
     disk: Disk,
-    shelf: Shelf,
+    shelf: SharedDisk,
     runs: bool,
     stopped: bool,
     /// What it holds of others, as seen at the last look.
@@ -288,7 +288,7 @@
     /// Pairs that see each other wrongly, since when.
     wrong: BTreeMap<(usize, String), Ticks>,
     layouts: BTreeMap<u64, u64>,
-    truth: Rc<Truth>,
+    truth: Rc<Oracle>,
     broken: Option<Broken>,
 }
 
@@ -413,7 +413,7 @@
         place.node.borrow_mut().take();
         if burnt {
             place.disk.borrow_mut().take();
-            *place.shelf.borrow_mut() = replication_load::Kept::default();
+            *place.shelf.borrow_mut() = replication_load::DiskContents::default();
         }
     }
 
@@ -541,7 +541,7 @@
 
     /// What the truth has found.
     fn look_at_truth(&mut self) {
-        if let Some((rule, what)) = self.truth.broken.take() {
+        if let Some((rule, what)) = self.truth.violation.take() {
             self.breaks(rule, what);
         }
     }
@@ -761,7 +761,7 @@
         process: 1 + p,
         node: Rc::default(),
         disk: Disk::default(),
-        shelf: Shelf::default(),
+        shelf: SharedDisk::default(),
         runs: false,
         stopped: false,
         believed: BTreeMap::new(),
@@ -785,7 +785,7 @@
         quiet: 0,
         wrong: BTreeMap::new(),
         layouts: BTreeMap::new(),
-        truth: Rc::new(Truth::new(&sim)),
+        truth: Rc::new(Oracle::new(&sim)),
         broken: None,
     };
     sim.begin(0, Role::Client);
@@ -801,7 +801,7 @@
     let meets = run.bound() + TERMS.join_delay + TERMS.probe_interval * 3 * (members as Ticks + 8);
     let end = last
         + if scenario.copies.is_some() {
-            replication_load::AFTERWARDS
+            replication_load::SETTLING_TIME
         } else {
             meets
         };
@@ -832,8 +832,8 @@
         broken: run.broken.clone(),
         steps: sim.steps.get(),
         commands: run.places.iter().map(sent).sum(),
-        benefit: run.truth.kept().0,
-        asked: run.truth.kept().1,
+        benefit: run.truth.request_counts().0,
+        asked: run.truth.request_counts().1,
         digest: sim.digest.borrow().digest(),
         trace: sim.trace(),
         ..Played::default()
--- a/crates/simulator/src/planted_faults.rs
+++ b/crates/simulator/src/planted_faults.rs
@@ -1,14 +1,16 @@
-//! Owns the list of deliberate faults, and how many seeds it takes to find each.
+//! Faults planted into leverpoint's code behind failpoints, and the search for the seed that detects each.
 //!
-//! It must never play a seed with more than one of them.
+//! # Invariants
+//!
+//! - At most one planted fault is active in a run.
 
 use leverpoint_runtime::{Instant, set_failpoint};
 
 use crate::checker::Broken;
 use crate::scenarios;
 
-/// Name, and the scenario that is meant to find it.
-pub const PLANTS: [(&str, &str); 30] = [
+/// The failpoint's name and the scenario that is expected to detect the fault.
+pub const PLANTED_FAULTS: [(&str, &str); 30] = [
     ("answer-twice", "calm"),
     ("other-value", "calm"),
     ("panic", "calm"),
@@ -41,23 +43,31 @@
     ("alone-unseen", "copies-partition"),
 ];
 
-/// How many seeds from 0 on it takes, and what they find.
-pub fn find(plant: &'static str, name: &str, most: u64, base: Instant) -> Option<(u64, Broken)> {
-    let scene = scenarios::load(name).expect("a scenario of our own");
-    set_failpoint(Some(plant));
-    let found = (0..most).find_map(|seed| {
-        let broken = scene.play(seed, base, false).broken?;
-        Some((seed + 1, broken))
+/// Runs seeds from 0 on, up to `seed_limit` of them, with the fault active. Returns how many it took to break a rule and
+/// which one broke, or `None` if no seed detected the fault.
+pub fn find(
+    fault: &'static str,
+    scenario_name: &str,
+    seed_limit: u64,
+    base: Instant,
+) -> Option<(u64, Broken)> {
+    let scenario = scenarios::load(scenario_name).expect("a built-in scenario is valid");
+    set_failpoint(Some(fault));
+    let detection = (0..seed_limit).find_map(|seed| {
+        let violation = scenario.play(seed, base, false).broken?;
+        Some((seed + 1, violation))
     });
     set_failpoint(None);
-    found
+    detection
 }
 
-type Found = (&'static str, &'static str, Option<(u64, Broken)>);
+/// Planted fault, scenario, and the result of [`find`].
+type SearchResult = (&'static str, &'static str, Option<(u64, Broken)>);
 
-pub fn find_all(most: u64, base: Instant) -> Vec<Found> {
-    PLANTS
+/// Searches for every planted fault in turn; see [`find`].
+pub fn find_all(seed_limit: u64, base: Instant) -> Vec<SearchResult> {
+    PLANTED_FAULTS
         .iter()
-        .map(|(plant, scenario)| (*plant, *scenario, find(plant, scenario, most, base)))
+        .map(|(fault, scenario)| (*fault, *scenario, find(fault, scenario, seed_limit, base)))
         .collect()
 }
--- a/crates/simulator/src/replication_load.rs
+++ b/crates/simulator/src/replication_load.rs
@@ -1,7 +1,10 @@
-//! Owns what clients do at the members of a fleet that copies what it holds, and the truth that it is held against: every
-//! answer, every effect, by the one clock of the world.
+//! Clients that read and write at the members of a fleet with replication, and the oracle that checks their results: it
+//! records every acknowledgement and every execution by the clock of the simulation.
 //!
-//! It must never let a member see the truth, or count an answer that its client did not hear.
+//! # Invariants
+//!
+//! - Members never see the oracle's data.
+//! - The oracle counts an acknowledgement only once the client has received it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,7 +19,7 @@
 use leverpoint_replication::record_store::RecordStoreLimits;
 use leverpoint_replication::{
     DeduplicationDomain, IdempotencyClaim, IdempotencyDecision, PersistedMetadata, Record,
-    RecordKey, RecoveredState, ReplicationConfig, ReplicationFactor as Many, Ticks, WriteOutcome,
+    RecordKey, RecoveredState, ReplicationConfig, ReplicationFactor as Factor, Ticks, WriteOutcome,
 };
 use leverpoint_runtime::{sleep, spawn};
 use serde::Deserialize;
@@ -24,122 +27,139 @@
 
 use crate::world::{EventSource, Sim, UNIX};
 
+/// The replication factor and the load of a scenario. The fields are the keys of its HCL block `copies`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
+    /// Replication factor; an odd number.
     pub copies: usize,
+    /// Number of sessions that requests are spread over.
     pub sessions: u64,
-    /// A member is asked for something so often, in milliseconds on average.
+    /// Mean time between two requests to one member, in milliseconds.
     pub every_ms: f64,
-    /// Parts of the acts: writes, of them keyed ones, of these repeats of a key that was sent before.
+    /// Fraction of requests that are writes.
     pub writes: f64,
+    /// Fraction of writes that carry an idempotency key.
     pub keyed: f64,
+    /// Fraction of keyed writes that retry a key sent before.
     pub repeats: f64,
-    /// The newest keys, of which one is repeated.
-    #[serde(default = "some")]
+    /// A retry picks one of this many newest keys.
+    #[serde(default = "default_repeatable_keys")]
     pub keys: usize,
-    /// Records that a member holds at most; few, so that some are folded away.
-    #[serde(default = "plenty")]
+    /// Maximum number of records of a member; a small limit makes the record store fold old records.
+    #[serde(default = "default_record_limit")]
     pub records: usize,
 }
 
-fn some() -> usize {
+fn default_repeatable_keys() -> usize {
     50
 }
 
-fn plenty() -> usize {
+fn default_record_limit() -> usize {
     1 << 16
 }
 
-/// After the last fault what was open ends, and members that were away take their parts.
-pub const AFTERWARDS: Ticks = 80_000;
-/// A repeat is dropped for so long by the set that had the first.
-const WINDOW: Ticks = 30_000;
-const LEASE: Ticks = 20_000;
-/// No client repeats a key for longer.
-const PATIENCE: Ticks = 150_000;
+/// How long a run continues after the last fault: open requests end, and returning members are repaired.
+pub const SETTLING_TIME: Ticks = 80_000;
+/// For this long after a keyed write, its replica set drops writes with the same key.
+const DEDUPLICATION_WINDOW: Ticks = 30_000;
+const LEASE_DURATION: Ticks = 20_000;
+/// Age of a key, counted from its first write, after which no client retries it.
+const MAX_KEY_AGE: Ticks = 150_000;
 
-/// What a member's disk has of copies.
+/// A member's replication data as it is on disk.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
-    meta: PersistedMetadata,
+pub struct DiskContents {
+    metadata: PersistedMetadata,
     records: BTreeMap<RecordKey, Record>,
 }
 
-pub type Shelf = Rc<RefCell<Kept>>;
+/// A member's disk; it outlives the member's processes.
+pub type SharedDisk = Rc<RefCell<DiskContents>>;
 
-/// A disk on which one thing is kept after the other; what was not done when its process ends is lost.
-struct Disk(mpsc::UnboundedSender<Batch>);
+/// Queues writes to the simulated disk, which executes them in order. Queued writes are lost when the process ends.
+struct QueuedStore(mpsc::UnboundedSender<PersistRequest>);
 
-type Batch = (
+/// Records, metadata and the completion callback of one write.
+type PersistRequest = (
     Vec<Record>,
     Option<PersistedMetadata>,
     Box<dyn FnOnce(bool)>,
 );
 
-impl ReplicationStore for Disk {
+impl ReplicationStore for QueuedStore {
     fn persist(
         &self,
         records: Vec<Record>,
         meta: Option<PersistedMetadata>,
-        then: Box<dyn FnOnce(bool)>,
+        callback: Box<dyn FnOnce(bool)>,
     ) {
-        let _ = self.0.send((records, meta, then));
+        let _ = self.0.send((records, meta, callback));
     }
 }
 
-async fn keep(sim: Rc<Sim>, shelf: Shelf, mut line: mpsc::UnboundedReceiver<Batch>) {
-    while let Some(first) = line.recv().await {
+/// Executes queued writes in batches; each batch takes 0.1 to 2.9 ms.
+async fn run_disk(
+    sim: Rc<Sim>,
+    disk: SharedDisk,
+    mut requests: mpsc::UnboundedReceiver<PersistRequest>,
+) {
+    while let Some(first) = requests.recv().await {
         let mut all = vec![first];
-        while let Ok(more) = line.try_recv() {
+        while let Ok(more) = requests.try_recv() {
             all.push(more);
         }
-        let takes = sim.chance.borrow_mut().u64(1..30);
-        sleep(Duration::from_micros(takes * 100)).await;
-        let mut thens = Vec::new();
-        for (records, meta, then) in all {
-            let mut kept = shelf.borrow_mut();
+        let write_duration = sim.chance.borrow_mut().u64(1..30);
+        sleep(Duration::from_micros(write_duration * 100)).await;
+        let mut callbacks = Vec::new();
+        for (records, meta, callback) in all {
+            let mut contents = disk.borrow_mut();
             for record in records {
-                kept.records
+                contents
+                    .records
                     .entry(record.key)
                     .or_insert_with(|| record.clone())
                     .merge(&record);
             }
             if let Some(meta) = meta {
-                kept.meta = meta;
+                contents.metadata = meta;
             }
-            thens.push(then);
+            callbacks.push(callback);
         }
-        thens.into_iter().for_each(|then| then(true));
+        callbacks.into_iter().for_each(|callback| callback(true));
     }
 }
 
-/// A key as it truly is: where and when it ran.
+/// What the oracle knows of an idempotency key.
 #[derive(Clone, Debug, Default)]
-struct Key {
-    ran: Vec<(u16, Ticks)>,
+struct KeyHistory {
+    /// Replica set and time of each execution.
+    executions: Vec<(u16, Ticks)>,
+    /// The replica set that the first write named.
     set: u16,
-    began: Ticks,
+    first_sent: Ticks,
 }
 
-/// What truly happened.
-pub struct Truth {
+/// Records what happened in a run, independently of what the members know, and detects violations.
+pub struct Oracle {
     sim: Rc<Sim>,
-    /// The highest position that was answered to a session.
-    wrote: RefCell<BTreeMap<u64, Ticks>>,
-    keys: RefCell<BTreeMap<u64, Key>>,
-    pub broken: Cell<Option<(u8, String)>>,
+    /// By session: the highest acknowledged replication position.
+    acknowledged: RefCell<BTreeMap<u64, Ticks>>,
+    keys: RefCell<BTreeMap<u64, KeyHistory>>,
+    /// The latest violation: the rule's number and a description.
+    pub violation: Cell<Option<(u8, String)>>,
+    /// Requests that got a token or a quorum acknowledgement, and all requests.
     counts: Cell<(u64, u64)>,
     next_key: Cell<u64>,
 }
 
-impl Truth {
-    pub fn new(sim: &Rc<Sim>) -> Truth {
-        Truth {
+impl Oracle {
+    pub fn new(sim: &Rc<Sim>) -> Oracle {
+        Oracle {
             sim: sim.clone(),
-            wrote: RefCell::default(),
+            acknowledged: RefCell::default(),
             keys: RefCell::default(),
-            broken: Cell::new(None),
+            violation: Cell::new(None),
             counts: Cell::new((0, 0)),
             next_key: Cell::new(1),
         }
@@ -149,57 +169,57 @@
         (UNIX.as_micros() / 100) as Ticks + self.sim.time()
     }
 
-    /// Acts that came to an exact read or a promise, and all of them.
-    pub fn kept(&self) -> (f64, f64) {
-        let (kept, all) = self.counts.get();
+    /// Requests that got a read's token or a write's quorum acknowledgement, and all requests; (1, 1) without any.
+    pub fn request_counts(&self) -> (f64, f64) {
+        let (successful, all) = self.counts.get();
         if all == 0 {
             (1.0, 1.0)
         } else {
-            (kept as f64, all as f64)
+            (successful as f64, all as f64)
         }
     }
 
-    fn count(&self, kept: bool) {
-        let (some, all) = self.counts.get();
-        self.counts.set((some + u64::from(kept), all + 1));
+    fn count_request(&self, succeeded: bool) {
+        let (successful, all) = self.counts.get();
+        self.counts
+            .set((successful + u64::from(succeeded), all + 1));
     }
 
-    fn breaks(&self, rule: u8, what: String) {
-        self.broken.set(Some((rule, what)));
+    fn report_violation(&self, rule: u8, description: String) {
+        self.violation.set(Some((rule, description)));
     }
 
-    /// An effect, unless its set drops it.
-    fn runs(&self, key: Option<u64>, set: u16, who: usize) {
+    /// Records the execution of a keyed write, unless its replica set drops it as a duplicate.
+    fn record_execution(&self, key: Option<u64>, set: u16, member: usize) {
         let now = self.now();
         let Some(key) = key else { return };
         let mut keys = self.keys.borrow_mut();
-        let held = keys.entry(key).or_default();
-        let dropped = held
-            .ran
-            .iter()
-            .any(|(at, when)| *at == set && now - when < WINDOW);
+        let history = keys.entry(key).or_default();
+        let dropped = history.executions.iter().any(|(executed_at_set, time)| {
+            *executed_at_set == set && now - time < DEDUPLICATION_WINDOW
+        });
         if dropped {
             return;
         }
-        self.sim.record(EventSource::Set, (key, who), || {
-            format!("key {key} runs, from {who}")
+        self.sim.record(EventSource::Set, (key, member), || {
+            format!("key {key} is executed, sent by member {member}")
         });
-        held.ran.push((set, now));
-        if held.ran.len() > 1 {
-            let what = format!(
-                "key {key} ran twice, the second time by member {who}: {:?}",
-                held.ran
+        history.executions.push((set, now));
+        if history.executions.len() > 1 {
+            let description = format!(
+                "key {key} was executed twice, the second time through member {member}: {:?}",
+                history.executions
             );
             drop(keys);
-            self.breaks(2, what);
+            self.report_violation(2, description);
         }
     }
 }
 
-fn terms(load: &Load) -> ReplicationConfig {
+fn replication_config(load: &Load) -> ReplicationConfig {
     ReplicationConfig {
-        replicas: Many::new(load.copies).expect("an odd number"),
-        lease_duration: LEASE,
+        replicas: Factor::new(load.copies).expect("an odd number of replicas"),
+        lease_duration: LEASE_DURATION,
         max_clock_skew: 10,
         quorum_timeout: 1_000,
         max_write_duration: 300_000,
@@ -213,188 +233,244 @@
     }
 }
 
-/// Starts a member's copies and the clients that come to it.
+/// Starts a member's replication and its clients. `recover` says whether the member loads what its disk holds.
 pub fn start(
     sim: &Rc<Sim>,
-    p: usize,
-    node: &Rc<MemberRuntime>,
+    member: usize,
+    membership: &Rc<MemberRuntime>,
     load: &Load,
-    truth: &Rc<Truth>,
-    shelf: &Shelf,
-    lasts: bool,
+    oracle: &Rc<Oracle>,
+    disk: &SharedDisk,
+    recover: bool,
 ) {
-    let kept = shelf.borrow().clone();
-    let kept = lasts.then(|| RecoveredState {
-        metadata: Some(kept.meta),
-        records: kept.records.into_values().collect(),
+    let contents = disk.borrow().clone();
+    let recovered = recover.then(|| RecoveredState {
+        metadata: Some(contents.metadata),
+        records: contents.records.into_values().collect(),
     });
-    let (tell, line) = mpsc::unbounded_channel();
-    spawn(keep(sim.clone(), shelf.clone(), line));
-    let says = sim.clone();
-    let said = Box::new(move |event: &ReplicationEvent| {
-        says.record(EventSource::Copies, (p, event), || {
-            format!("at {p} {event:?}")
+    let (sender, requests) = mpsc::unbounded_channel();
+    spawn(run_disk(sim.clone(), disk.clone(), requests));
+    let event_sim = sim.clone();
+    let on_event = Box::new(move |event: &ReplicationEvent| {
+        event_sim.record(EventSource::Copies, (member, event), || {
+            format!("at {member} {event:?}")
         });
     });
-    let copies =
-        ReplicationRuntime::start(node, terms(load), kept, Some(Box::new(Disk(tell))), said);
-    spawn(clients(p, copies, load.clone(), truth.clone()));
+    let replication = ReplicationRuntime::start(
+        membership,
+        replication_config(load),
+        recovered,
+        Some(Box::new(QueuedStore(sender))),
+        on_event,
+    );
+    spawn(run_clients(
+        member,
+        replication,
+        load.clone(),
+        oracle.clone(),
+    ));
 }
 
-async fn clients(p: usize, copies: Rc<ReplicationRuntime>, load: Load, truth: Rc<Truth>) {
-    let mut chance = Rng::with_seed(truth.sim.chance.borrow_mut().u64(..));
+async fn run_clients(
+    member: usize,
+    replication: Rc<ReplicationRuntime>,
+    load: Load,
+    oracle: Rc<Oracle>,
+) {
+    let mut rng = Rng::with_seed(oracle.sim.chance.borrow_mut().u64(..));
     loop {
-        let pause = -load.every_ms * (1.0 - chance.f64()).ln();
+        let pause = -load.every_ms * (1.0 - rng.f64()).ln();
         sleep(Duration::from_micros((pause * 10.0) as u64 * 100)).await;
-        let session = chance.u64(1..=load.sessions);
-        let (copies, truth) = (copies.clone(), truth.clone());
-        let own = chance.fork();
-        if chance.f64() >= load.writes {
-            spawn(read(p, copies, truth, session));
-        } else if chance.f64() >= load.keyed {
-            spawn(write(p, copies, truth, session, None, own));
+        let session = rng.u64(1..=load.sessions);
+        let (replication, oracle) = (replication.clone(), oracle.clone());
+        let write_rng = rng.fork();
+        if rng.f64() >= load.writes {
+            spawn(run_read(member, replication, oracle, session));
+        } else if rng.f64() >= load.keyed {
+            spawn(run_write(
+                member,
+                replication,
+                oracle,
+                session,
+                None,
+                write_rng,
+            ));
         } else {
-            let repeats = chance.f64() < load.repeats;
-            let key = a_key(&truth, &mut chance, repeats, load.keys);
-            spawn(write(p, copies, truth, session, Some(key), own));
+            let repeats = rng.f64() < load.repeats;
+            let key = choose_key(&oracle, &mut rng, repeats, load.keys);
+            spawn(run_write(
+                member,
+                replication,
+                oracle,
+                session,
+                Some(key),
+                write_rng,
+            ));
         }
     }
 }
 
-/// A new key with its set, or one that was sent lately: its client has given it up elsewhere and says that it repeats it.
-fn a_key(truth: &Truth, chance: &mut Rng, repeats: bool, newest: usize) -> (u64, u16, bool) {
-    let now = truth.now();
-    let mut keys = truth.keys.borrow_mut();
-    let lately: Vec<u64> = keys
+/// A new key with its replica set, or a recent one to retry, as by a client that gave up its attempt at another member.
+/// The flag says whether it is a retry.
+fn choose_key(
+    oracle: &Oracle,
+    rng: &mut Rng,
+    repeats: bool,
+    recent_limit: usize,
+) -> (u64, u16, bool) {
+    let now = oracle.now();
+    let mut keys = oracle.keys.borrow_mut();
+    let recent: Vec<u64> = keys
         .iter()
         .rev()
-        .take(newest)
-        .filter(|(_, k)| now - k.began < PATIENCE)
+        .take(recent_limit)
+        .filter(|(_, k)| now - k.first_sent < MAX_KEY_AGE)
         .map(|(key, _)| *key)
         .collect();
-    if repeats && !lately.is_empty() {
-        let key = lately[chance.usize(..lately.len())];
-        let held = keys.entry(key).or_default();
-        // Once in a while it names another set.
-        let set = if chance.u8(..10) == 0 {
-            1 - held.set
+    if repeats && !recent.is_empty() {
+        let key = recent[rng.usize(..recent.len())];
+        let history = keys.entry(key).or_default();
+        // One retry in ten names the other replica set.
+        let set = if rng.u8(..10) == 0 {
+            1 - history.set
         } else {
-            held.set
+            history.set
         };
         return (key, set, true);
     }
-    let key = truth.next_key.replace(truth.next_key.get() + 1);
-    let set = chance.u16(..2);
+    let key = oracle.next_key.replace(oracle.next_key.get() + 1);
+    let set = rng.u16(..2);
     keys.insert(
         key,
-        Key {
+        KeyHistory {
             set,
-            began: now,
-            ..Key::default()
+            first_sent: now,
+            ..KeyHistory::default()
         },
     );
     (key, set, false)
 }
 
-async fn read(p: usize, copies: Rc<ReplicationRuntime>, truth: Rc<Truth>, session: u64) {
-    let owed = truth.wrote.borrow().get(&session).copied().unwrap_or(0);
-    let instant = copies.now() + 10;
-    let (tell, told) = oneshot::channel();
-    copies.request_read(
+async fn run_read(
+    member: usize,
+    replication: Rc<ReplicationRuntime>,
+    oracle: Rc<Oracle>,
+    session: u64,
+) {
+    let required = oracle
+        .acknowledged
+        .borrow()
+        .get(&session)
+        .copied()
+        .unwrap_or(0);
+    let fallback_token = replication.now() + 10;
+    let (sender, receiver) = oneshot::channel();
+    replication.request_read(
         session,
         Ticks::MAX,
-        Box::new(move |at| {
-            let _ = tell.send(at);
+        Box::new(move |position| {
+            let _ = sender.send(position);
         }),
     );
-    let Ok(at) = told.await else { return };
-    truth.count(at.is_some());
-    truth.sim.record(EventSource::Read, (p, session, at), || {
-        format!("at {p} reads {session}: {at:?}")
-    });
-    let token = at.unwrap_or(instant);
-    if token < owed {
-        let what = format!(
-            "session {session} at member {p} owes {owed}, its read asks for {token} ({at:?})"
+    let Ok(position) = receiver.await else { return };
+    oracle.count_request(position.is_some());
+    oracle
+        .sim
+        .record(EventSource::Read, (member, session, position), || {
+            format!("at {member} session {session} reads: {position:?}")
+        });
+    let token = position.unwrap_or(fallback_token);
+    if token < required {
+        let description = format!(
+            "session {session} at member {member} needs position {required}, but its read requires {token} ({position:?})"
         );
-        truth.breaks(5, what);
+        oracle.report_violation(5, description);
     }
 }
 
-async fn write(
-    p: usize,
-    copies: Rc<ReplicationRuntime>,
-    truth: Rc<Truth>,
+async fn run_write(
+    member: usize,
+    replication: Rc<ReplicationRuntime>,
+    oracle: Rc<Oracle>,
     session: u64,
     key: Option<(u64, u16, bool)>,
-    mut chance: Rng,
+    mut rng: Rng,
 ) {
-    let number = chance.u64(..);
+    let attempt_id = rng.u64(..);
     let claim = key.map(|(key, set, repeat)| IdempotencyClaim {
         key,
-        attempt_id: number,
+        attempt_id,
         replica_set: set,
         deduplication: DeduplicationDomain::ReplicaSet,
-        deduplication_window: WINDOW,
+        deduplication_window: DEDUPLICATION_WINDOW,
         is_retry: repeat,
     });
-    let first = copies.now();
-    let (tell, told) = oneshot::channel();
-    let ticket = copies.request_write(
+    let first = replication.now();
+    let (sender, receiver) = oneshot::channel();
+    let write_id = replication.request_write(
         session,
         claim,
         Ticks::MAX,
-        Box::new(move |_, go| {
-            let _ = tell.send(go);
+        Box::new(move |_, clearance| {
+            let _ = sender.send(clearance);
         }),
     );
-    let Ok(go) = told.await else { return };
-    truth.count(matches!(go, WriteClearance::QuorumAcknowledged(_)));
-    truth
-        .sim
-        .record(EventSource::Write, (p, session, key, ticket, go), || {
-            format!("at {p} writes {session}, key {key:?}, ticket {ticket}: {go:?}")
-        });
-    let until = match go {
+    let Ok(clearance) = receiver.await else {
+        return;
+    };
+    oracle.count_request(matches!(clearance, WriteClearance::QuorumAcknowledged(_)));
+    oracle.sim.record(
+        EventSource::Write,
+        (member, session, key, write_id, clearance),
+        || {
+            format!(
+                "at {member} session {session} writes, key {key:?}, write {write_id}: {clearance:?}"
+            )
+        },
+    );
+    let execution_deadline = match clearance {
         WriteClearance::QuorumAcknowledged(IdempotencyDecision::FirstAttempt)
-        | WriteClearance::WithoutQuorum => first + WINDOW - 100,
+        | WriteClearance::WithoutQuorum => first + DEDUPLICATION_WINDOW - 100,
         WriteClearance::QuorumAcknowledged(IdempotencyDecision::Retry(first)) => {
-            first + WINDOW - 100
+            first + DEDUPLICATION_WINDOW - 100
         }
         WriteClearance::QuorumAcknowledged(IdempotencyDecision::OutcomeUnknown) => {
-            return copies.on_write_finished(ticket, WriteOutcome::NotExecuted);
+            return replication.on_write_finished(write_id, WriteOutcome::NotExecuted);
         }
         WriteClearance::Rejected(_) => return,
     };
-    let how = chance.u8(..10);
-    // On its way, and on the machine; one in ten waits for long, as for a primary.
-    let long = chance.u8(..10) == 0;
+    let outcome_roll = rng.u8(..10);
+    // Network and queueing time: 0.5 to 5.9 ms; for one write in ten 5 ms to 2 s, as if it waited for a primary.
+    let waits_long = rng.u8(..10) == 0;
     sleep(Duration::from_micros(
-        100 * chance.u64(if long { 50..20_000 } else { 5..60 }),
+        100 * rng.u64(if waits_long { 50..20_000 } else { 5..60 }),
     ))
     .await;
-    if copies.now() >= until || how == 0 {
-        return copies.on_write_finished(ticket, WriteOutcome::NotExecuted);
+    if replication.now() >= execution_deadline || outcome_roll == 0 {
+        return replication.on_write_finished(write_id, WriteOutcome::NotExecuted);
     }
-    truth.runs(
+    oracle.record_execution(
         key.map(|(key, ..)| key),
         key.map_or(0, |(_, set, _)| set),
-        p,
+        member,
     );
-    let position = truth.now();
-    sleep(Duration::from_micros(100 * chance.u64(2..40))).await;
-    if how == 1 {
-        // Its answer is lost: nobody here knows.
+    let position = oracle.now();
+    sleep(Duration::from_micros(100 * rng.u64(2..40))).await;
+    if outcome_roll == 1 {
+        // The reply is lost, so the member does not know the outcome.
         sleep(Duration::from_millis(50)).await;
-        return copies.on_write_finished(ticket, WriteOutcome::PossiblyExecuted(copies.now() + 10));
+        return replication.on_write_finished(
+            write_id,
+            WriteOutcome::PossiblyExecuted(replication.now() + 10),
+        );
     }
-    truth.sim.record(
+    oracle.sim.record(
         EventSource::ClientAnswer,
-        (p, position, session, ticket),
-        || format!("at {p} is answered {position} to {session}, ticket {ticket}"),
+        (member, position, session, write_id),
+        || format!("at {member} session {session} gets position {position}, write {write_id}"),
     );
-    copies.on_write_finished(ticket, WriteOutcome::Acknowledged(position));
-    let mut wrote = truth.wrote.borrow_mut();
-    let held = wrote.entry(session).or_default();
-    *held = (*held).max(position);
+    replication.on_write_finished(write_id, WriteOutcome::Acknowledged(position));
+    let mut acknowledged = oracle.acknowledged.borrow_mut();
+    let highest = acknowledged.entry(session).or_default();
+    *highest = (*highest).max(position);
 }
--- a/crates/simulator/src/scenarios.rs
+++ b/crates/simulator/src/scenarios.rs
@@ -1,19 +1,19 @@
-//! Owns the scenarios by name, of either kind: gateways with their clients and machines, or the members of a fleet.
-//!
-//! It must never let one kind's play see the other's script.
+//! Scenarios of both kinds, looked up by name: gateways with their clients and database servers, or the members of a
+//! fleet.
 
 use leverpoint_runtime::Instant;
 
 use crate::outcome::Played;
 use crate::{gateway_script, member_fleet, play};
 
+/// A scenario of either kind.
 #[derive(Clone, Debug)]
 pub enum AnyScenario {
     Gateways(gateway_script::Scenario),
     Members(member_fleet::Scenario),
 }
 
-const MEMBERS: [(&str, &str); 8] = [
+const MEMBER_SCENARIOS: [(&str, &str); 8] = [
     (
         "members-churn",
         include_str!("../scenarios/members-churn.hcl"),
@@ -42,36 +42,44 @@
     ("copies-keys", include_str!("../scenarios/copies-keys.hcl")),
 ];
 
-fn members(text: &str) -> Result<AnyScenario, String> {
+fn parse_member_scenario(text: &str) -> Result<AnyScenario, String> {
     hcl::from_str(text)
         .map(AnyScenario::Members)
         .map_err(|e| e.to_string())
 }
 
+/// All scenarios compiled into the program, by name.
 pub fn built_in() -> impl Iterator<Item = (&'static str, AnyScenario)> {
     let gateways = gateway_script::built_in_scenarios()
         .map(|(name, scenario)| (name, AnyScenario::Gateways(scenario)));
-    gateways.chain(
-        MEMBERS
-            .iter()
-            .map(|(name, text)| (*name, members(text).expect("a scenario of our own"))),
-    )
+    gateways.chain(MEMBER_SCENARIOS.iter().map(|(name, text)| {
+        (
+            *name,
+            parse_member_scenario(text).expect("a built-in scenario is valid"),
+        )
+    }))
 }
 
-/// One of our own by its name, or one from a file, whose words tell its kind.
+/// A built-in scenario by its name, or one from the HCL file at that path. A file with the key `members` at the start of
+/// a line describes a fleet.
+///
+/// # Errors
+///
+/// When the file cannot be read or is not a valid scenario.
 pub fn load(name: &str) -> Result<AnyScenario, String> {
-    if let Some((_, text)) = MEMBERS.iter().find(|(n, _)| *n == name) {
-        return members(text);
+    if let Some((_, text)) = MEMBER_SCENARIOS.iter().find(|(n, _)| *n == name) {
+        return parse_member_scenario(text);
     }
     if let Ok(text) = std::fs::read_to_string(name)
         && text.contains("\nmembers ")
     {
-        return members(&text).map_err(|e| format!("{name}: {e}"));
+        return parse_member_scenario(&text).map_err(|e| format!("{name}: {e}"));
     }
     gateway_script::load_scenario(name).map(AnyScenario::Gateways)
 }
 
 impl AnyScenario {
+    /// The one-line description.
     pub fn about(&self) -> &str {
         match self {
             AnyScenario::Gateways(scenario) => &scenario.about,
@@ -79,7 +87,8 @@
         }
     }
 
-    /// Plays the script that a seed makes.
+    /// Generates the script for a seed and runs it. `base` is the instant at which virtual time starts; `traced` keeps the
+    /// text of every event.
     pub fn play(&self, seed: u64, base: Instant, traced: bool) -> Played {
         match self {
             AnyScenario::Gateways(scenario) => {
