--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -1,49 +1,58 @@
-//! Owns what is kept of each seed, and how two runs over the same seeds are set side by side.
+//! The file of results by seed that `run --each` writes, and the comparison of two such files.
 //!
-//! It must never compare seeds that were not played in both.
+//! # Invariants
+//!
+//! - Only seeds that are in both files are compared.
 
 use std::collections::BTreeMap;
 
 use crate::outcome::Played;
 
-const HEAD: &str = "seed,benefit,asked,commands,digest";
+/// The first line of the file.
+const HEADER: &str = "seed,benefit,asked,commands,digest";
 
-/// A line a seed: its number, the benefit kept, the benefit asked for, the commands sent, its trace's digest.
-pub fn text(played: &[(u64, Played)]) -> String {
+/// The file's content, with one line for each seed: its number, the benefit of the answered requests, the benefit of all
+/// requests, the number of requests sent, and the trace's digest.
+pub fn results_csv(played: &[(u64, Played)]) -> String {
     let line = |(seed, p): &(u64, Played)| {
         format!(
             "{seed},{},{},{},{:016x}\n",
             p.benefit, p.asked, p.commands, p.digest
         )
     };
-    format!("{HEAD}\n{}", played.iter().map(line).collect::<String>())
+    format!("{HEADER}\n{}", played.iter().map(line).collect::<String>())
 }
 
-/// By seed, the part of the benefit that was kept.
-fn read(file: &str) -> Result<BTreeMap<u64, f64>, String> {
+/// Reads a file of results: by seed, the achieved fraction of the benefit.
+fn read_benefit_ratios(file: &str) -> Result<BTreeMap<u64, f64>, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
     let mut lines = text.lines().enumerate();
-    if lines.next().is_none_or(|(_, head)| head != HEAD) {
-        return Err(format!("{file}:1: expected {HEAD}"));
+    if lines.next().is_none_or(|(_, header)| header != HEADER) {
+        return Err(format!("{file}:1: expected {HEADER}"));
     }
-    let kept = lines.map(|(n, line)| {
+    let ratios = lines.map(|(n, line)| {
         let mut fields = line.split(',');
         let seed = fields.next().and_then(|f| f.parse().ok());
-        let mut figure = || fields.next().and_then(|f| f.parse::<f64>().ok());
-        match (seed, figure(), figure()) {
+        let mut next_number = || fields.next().and_then(|f| f.parse::<f64>().ok());
+        match (seed, next_number(), next_number()) {
             (Some(seed), Some(benefit), Some(asked)) if asked > 0.0 => Ok((seed, benefit / asked)),
             _ => Err(format!(
-                "{file}:{}: expected a seed, a benefit and what was asked for",
+                "{file}:{}: expected a seed, a benefit and the benefit asked for",
                 n + 1
             )),
         }
     });
-    kept.collect()
+    ratios.collect()
 }
 
-/// The means, the mean difference with its standard error, and how many seeds gained or lost by it.
-pub fn files(before: &str, after: &str) -> Result<String, String> {
-    let (before, after) = (read(before)?, read(after)?);
+/// Compares two files of results, of which only the seeds in both count. Returns one line: the means, the mean difference
+/// with its standard error, the worst seeds, and how many seeds gained or lost more than 0.001.
+///
+/// # Errors
+///
+/// When a file cannot be read or is malformed, or when fewer than two seeds are in both.
+pub fn compare_files(before: &str, after: &str) -> Result<String, String> {
+    let (before, after) = (read_benefit_ratios(before)?, read_benefit_ratios(after)?);
     let pairs: Vec<(f64, f64)> = before
         .iter()
         .filter_map(|(seed, b)| after.get(seed).map(|a| (*b, *a)))
@@ -52,11 +61,11 @@
         return Err("fewer than two seeds are in both".to_owned());
     }
     let n = pairs.len() as f64;
-    let mean = |of: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(of).sum::<f64>() / n;
+    let mean = |value: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(value).sum::<f64>() / n;
     let difference = mean(&|(b, a)| a - b);
     let variance = mean(&|(b, a)| (a - b - difference).powi(2)) * n / (n - 1.0);
-    let least =
-        |of: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(of).fold(f64::INFINITY, f64::min);
+    let minimum =
+        |value: &dyn Fn(&(f64, f64)) -> f64| pairs.iter().map(value).fold(f64::INFINITY, f64::min);
     let (gained, lost) = (
         pairs.iter().filter(|(b, a)| a - b > 0.001).count(),
         pairs.iter().filter(|(b, a)| b - a > 0.001).count(),
@@ -68,7 +77,7 @@
         mean(&|(b, _)| *b),
         mean(&|(_, a)| *a),
         (variance / n).sqrt(),
-        least(&|(b, _)| *b),
-        least(&|(_, a)| *a),
+        minimum(&|(b, _)| *b),
+        minimum(&|(_, a)| *a),
     ))
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,12 @@
-//! leverpoint's network code, as the daemon runs it, on virtual time: a seed makes a script of a scenario and decides
-//! all that is open while it is played; the five rules are checked after every step.
+//! Deterministic simulation of leverpoint's network code, as the daemon runs it, on virtual time under injected faults.
 //!
-//! One seed always gives the same trace, to the byte.
+//! A scenario and a seed give a script of requests and faults; the seed also decides everything left open during the run,
+//! such as the order of ready tasks. The rules are checked while the run goes on: the five for requests after every step,
+//! those for fleets at intervals.
+//!
+//! # Invariants
+//!
+//! - A seed always gives the same trace, byte for byte.
 
 mod agents;
 pub mod checker;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,6 +1,9 @@
-//! Owns the command line: `leverpoint-simulator run`, `replay`, `shrink`, `list`.
+//! Command line of the simulator: `leverpoint-simulator run`, `replay`, `shrink`, `compare`, `list` and, with the feature
+//! `plants`, `plants`.
 //!
-//! It must never let the number of jobs change what is played.
+//! # Invariants
+//!
+//! - The number of jobs does not change the results of a run.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +19,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 #[derive(Clone, Debug)]
-enum Asked {
+enum Subcommand {
     Run {
         scenario: String,
         seeds: (u64, u64),
@@ -43,8 +46,9 @@
     List,
 }
 
+/// What `run` prints as one line of JSON.
 #[derive(Serialize)]
-struct Line {
+struct RunSummary {
     scenario: String,
     seeds: u64,
     broken: u64,
@@ -56,16 +60,16 @@
     digest: String,
 }
 
-fn words() -> OptionParser<Asked> {
+fn cli() -> OptionParser<Subcommand> {
     let scenario = || {
         let name = long("scenario")
-            .help("One of `list`, or a file of HCL")
+            .help("A name that `list` prints, or the path of an HCL file")
             .argument::<String>("NAME");
         name.fallback("round-close".to_owned())
     };
     let seed = || long("seed").argument::<u64>("N");
     let seeds = long("seeds")
-        .help("The first and the one behind the last")
+        .help("The first seed and the one after the last")
         .argument::<String>("A..B");
     let seeds = seeds.parse(|text| {
         let (first, last) = text.split_once("..").ok_or("expected A..B")?;
@@ -75,143 +79,147 @@
         ))
     });
     let jobs = long("jobs")
-        .help("Threads")
+        .help("Number of threads")
         .argument::<usize>("N")
         .fallback(4);
     let run = {
         let scenario = scenario();
         let each = long("each")
-            .help("Writes seed, benefit and commands of each there")
+            .help("Writes the results of each seed to this file, as CSV")
             .argument("FILE");
         let each = each.optional();
-        construct!(Asked::Run {
+        construct!(Subcommand::Run {
             scenario,
             seeds,
             jobs,
             each
         })
         .to_options()
-        .descr("Plays seeds, every rule checked")
+        .descr("Runs seeds and checks every rule")
     };
     let replay = {
         let (scenario, seed) = (scenario(), seed());
         let trace = long("trace")
-            .help("Writes the trace there, else to standard output")
+            .help("Writes the trace to this file instead of standard output")
             .argument("FILE");
         let trace = trace.optional();
-        construct!(Asked::Replay {
+        construct!(Subcommand::Replay {
             scenario,
             seed,
             trace
         })
         .to_options()
-        .descr("Plays one seed with its trace")
+        .descr("Runs one seed and prints its trace")
     };
     let shrink = {
         let (scenario, seed) = (scenario(), seed());
-        let whole = construct!(Asked::Shrink { scenario, seed });
-        whole
+        let parser = construct!(Subcommand::Shrink { scenario, seed });
+        parser
             .to_options()
-            .descr("Drops faults and commands while the same rule still breaks")
+            .descr("Removes faults and requests for as long as the same rule still breaks")
     };
     let compare = {
         let before = positional::<String>("BEFORE");
         let after = positional::<String>("AFTER");
-        construct!(Asked::Compare { before, after })
+        construct!(Subcommand::Compare { before, after })
             .to_options()
-            .descr("Two files of `run --each`, seed by seed: the mean difference and its spread")
+            .descr("Compares two files of `run --each` seed by seed: the mean difference and its standard error")
     };
     let compare = compare.command("compare");
-    let list = pure(Asked::List).to_options().descr("Lists the scenarios");
+    let list = pure(Subcommand::List)
+        .to_options()
+        .descr("Lists the scenarios");
     let (run, replay) = (run.command("run"), replay.command("replay"));
     let (shrink, list) = (shrink.command("shrink"), list.command("list"));
     #[cfg(feature = "plants")]
     {
         let seeds = long("seeds")
-            .help("Most seeds for each")
+            .help("Maximum number of seeds for each fault")
             .argument::<u64>("N")
             .fallback(10_000);
-        let plants = construct!(Asked::Plants { seeds }).to_options();
-        let plants =
-            plants.descr("Turns on each deliberate fault and counts the seeds that find it");
+        let plants = construct!(Subcommand::Plants { seeds }).to_options();
+        let plants = plants
+            .descr("Activates each planted fault and counts the seeds that it takes to detect it");
         let plants = plants.command("plants");
         construct!([run, replay, shrink, compare, plants, list])
             .to_options()
-            .descr("leverpoint's network code on virtual time")
+            .descr("Runs leverpoint's network code on virtual time under injected faults")
     }
     #[cfg(not(feature = "plants"))]
     construct!([run, replay, shrink, compare, list])
         .to_options()
-        .descr("leverpoint's network code on virtual time")
+        .descr("Runs leverpoint's network code on virtual time under injected faults")
 }
 
 fn main() -> ExitCode {
-    match words().run() {
-        Asked::Run {
+    match cli().run() {
+        Subcommand::Run {
             scenario,
             seeds,
             jobs,
             each,
-        } => with(&scenario, |s| {
+        } => with_scenario(&scenario, |s| {
             run(&scenario, s, seeds, jobs.max(1), each.as_deref())
         }),
-        Asked::Compare { before, after } => match compare::files(&before, &after) {
+        Subcommand::Compare { before, after } => match compare::compare_files(&before, &after) {
             Ok(text) => {
                 println!("{text}");
                 ExitCode::SUCCESS
             }
-            Err(why) => {
-                eprintln!("leverpoint-simulator: {why}");
+            Err(error) => {
+                eprintln!("leverpoint-simulator: {error}");
                 ExitCode::FAILURE
             }
         },
-        Asked::Replay {
+        Subcommand::Replay {
             scenario,
             seed,
             trace,
-        } => with(&scenario, |s| replay(s, seed, trace.as_deref())),
-        Asked::Shrink { scenario, seed } => with(&scenario, |s| {
+        } => with_scenario(&scenario, |s| replay(s, seed, trace.as_deref())),
+        Subcommand::Shrink { scenario, seed } => with_scenario(&scenario, |s| {
             print!("{}", shrink::shrink(s, seed, Instant::now()));
             ExitCode::SUCCESS
         }),
         #[cfg(feature = "plants")]
-        Asked::Plants { seeds } => {
-            let mut all = true;
-            for (name, scenario, found) in
+        Subcommand::Plants { seeds } => {
+            let mut all_found = true;
+            for (fault, scenario, detection) in
                 leverpoint_simulator::planted_faults::find_all(seeds, Instant::now())
             {
-                let seeds = found
+                let seeds = detection
                     .as_ref()
                     .map_or("not found".to_owned(), |(n, _)| n.to_string());
-                let what = found.map_or(String::new(), |(_, b)| {
+                let description = detection.map_or(String::new(), |(_, b)| {
                     format!("rule {}: {}", b.rule, b.what)
                 });
-                println!("| {name} | {scenario} | {seeds} | {what} |");
-                all &= !what_is_missing(&seeds);
+                println!("| {fault} | {scenario} | {seeds} | {description} |");
+                all_found &= !is_not_found(&seeds);
             }
-            if all {
+            if all_found {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             }
         }
-        Asked::List => {
-            scenarios::built_in().for_each(|(name, scene)| println!("{name:18} {}", scene.about()));
+        Subcommand::List => {
+            scenarios::built_in()
+                .for_each(|(name, scenario)| println!("{name:18} {}", scenario.about()));
             ExitCode::SUCCESS
         }
     }
 }
 
 #[cfg(feature = "plants")]
-fn what_is_missing(seeds: &str) -> bool {
+fn is_not_found(seeds: &str) -> bool {
     seeds == "not found"
 }
 
-fn with(name: &str, then: impl FnOnce(&AnyScenario) -> ExitCode) -> ExitCode {
+/// Loads a scenario by name and passes it to `action`; prints the error if that fails.
+fn with_scenario(name: &str, action: impl FnOnce(&AnyScenario) -> ExitCode) -> ExitCode {
     match scenarios::load(name) {
-        Ok(scene) => then(&scene),
-        Err(why) => {
-            eprintln!("leverpoint-simulator: {why}");
+        Ok(scenario) => action(&scenario),
+        Err(error) => {
+            eprintln!("leverpoint-simulator: {error}");
             ExitCode::FAILURE
         }
     }
@@ -219,24 +227,24 @@
 
 fn run(
     name: &str,
-    scene: &AnyScenario,
+    scenario: &AnyScenario,
     (first, last): (u64, u64),
     jobs: usize,
     each: Option<&str>,
 ) -> ExitCode {
-    let (next, began) = (AtomicU64::new(first), Instant::now());
-    let work = || {
-        let mut mine = Vec::new();
+    let (next_seed, started_at) = (AtomicU64::new(first), Instant::now());
+    let worker = || {
+        let mut results = Vec::new();
         loop {
-            let seed = next.fetch_add(1, Ordering::Relaxed);
+            let seed = next_seed.fetch_add(1, Ordering::Relaxed);
             if seed >= last {
-                return mine;
+                return results;
             }
-            mine.push((seed, scene.play(seed, began, false)));
+            results.push((seed, scenario.play(seed, started_at, false)));
         }
     };
     let mut played: Vec<(u64, Played)> = thread::scope(|scope| {
-        let threads: Vec<_> = (0..jobs).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..jobs).map(|_| scope.spawn(worker)).collect();
         threads
             .into_iter()
             .flat_map(|thread| thread.join().unwrap_or_default())
@@ -247,7 +255,7 @@
     played
         .iter()
         .for_each(|(_, p)| digest.update(&p.digest.to_le_bytes()));
-    let sum = |of: &dyn Fn(&Played) -> f64| played.iter().map(|(_, p)| of(p)).sum::<f64>();
+    let sum = |value: &dyn Fn(&Played) -> f64| played.iter().map(|(_, p)| value(p)).sum::<f64>();
     let broken: Vec<_> = played.iter().filter(|(_, p)| p.broken.is_some()).collect();
     for (seed, p) in broken.iter().take(5) {
         if let Some(b) = &p.broken {
@@ -263,7 +271,7 @@
         eprintln!("replay it: leverpoint-simulator replay --scenario {name} --seed {seed}");
     }
     if let Some(file) = each
-        && let Err(e) = std::fs::write(file, compare::text(&played))
+        && let Err(e) = std::fs::write(file, compare::results_csv(&played))
     {
         eprintln!("leverpoint-simulator: {file}: {e}");
         return ExitCode::FAILURE;
@@ -275,19 +283,19 @@
             .iter()
             .flatten()
             .zip(collisions.iter_mut().flatten());
-        cells.for_each(|(one, all)| *all += one);
+        cells.for_each(|(count, total)| *total += count);
     }
     for (first, name) in MEANINGS {
-        let with = |(later, other): &(Meaning, &str)| {
+        let describe = |(later, later_name): &(Meaning, &str)| {
             let times = collisions[first as usize][*later as usize];
-            (times > 0).then(|| format!("{other} {times}"))
+            (times > 0).then(|| format!("{later_name} {times}"))
         };
-        let met: Vec<_> = MEANINGS.iter().filter_map(with).collect();
-        if !met.is_empty() {
-            eprintln!("{name} on one instant before: {}", met.join(", "));
+        let later_events: Vec<_> = MEANINGS.iter().filter_map(describe).collect();
+        if !later_events.is_empty() {
+            eprintln!("{name} on one instant before: {}", later_events.join(", "));
         }
     }
-    let line = Line {
+    let summary = RunSummary {
         scenario: name.to_owned(),
         seeds: played.len() as u64,
         broken: broken.len() as u64,
@@ -295,10 +303,10 @@
         commands: sum(&|p| p.commands as f64) as u64,
         collisions: collisions.iter().flatten().sum(),
         benefit: sum(&|p| p.benefit) / sum(&|p| p.asked).max(1.0),
-        seconds: began.elapsed().as_secs_f64(),
+        seconds: started_at.elapsed().as_secs_f64(),
         digest: format!("{:016x}", digest.digest()),
     };
-    println!("{}", serde_json::to_string(&line).unwrap_or_default());
+    println!("{}", serde_json::to_string(&summary).unwrap_or_default());
     if broken.is_empty() {
         ExitCode::SUCCESS
     } else {
@@ -306,8 +314,8 @@
     }
 }
 
-fn replay(scene: &AnyScenario, seed: u64, file: Option<&str>) -> ExitCode {
-    let played = scene.play(seed, Instant::now(), true);
+fn replay(scenario: &AnyScenario, seed: u64, file: Option<&str>) -> ExitCode {
+    let played = scenario.play(seed, Instant::now(), true);
     let text = played.trace.join("\n") + "\n";
     match file {
         Some(file) => {
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -1,6 +1,8 @@
-//! Owns the search for the smallest script that still breaks the same rule.
+//! Searches for a minimal script that still breaks the same rule.
 //!
-//! It must never call a script smaller that breaks another rule.
+//! # Invariants
+//!
+//! - A smaller script is accepted only if it breaks the same rule as the full one.
 
 use std::fmt::Write;
 
@@ -11,51 +13,56 @@
 use crate::play::play;
 use crate::scenarios::AnyScenario;
 
-/// Drops halves, quarters and so on of a list for as long as `still` holds of what is left.
-fn drop_parts<T: Clone>(all: &mut Vec<T>, still: &mut dyn FnMut(&[T]) -> bool) {
-    let mut part = all.len().div_ceil(2);
-    while part > 0 {
+/// Removes chunks from a list, first halves, then quarters and so on down to single entries, and keeps each removal after
+/// which `still_fails` accepts the remaining list.
+fn remove_chunks<T: Clone>(entries: &mut Vec<T>, still_fails: &mut dyn FnMut(&[T]) -> bool) {
+    let mut chunk_size = entries.len().div_ceil(2);
+    while chunk_size > 0 {
         let mut at = 0;
-        while at < all.len() {
-            let mut less = all.clone();
-            less.drain(at..(at + part).min(all.len()));
-            if still(&less) {
-                *all = less;
+        while at < entries.len() {
+            let mut reduced = entries.clone();
+            reduced.drain(at..(at + chunk_size).min(entries.len()));
+            if still_fails(&reduced) {
+                *entries = reduced;
             } else {
-                at += part;
+                at += chunk_size;
             }
         }
-        part = if part == 1 { 0 } else { part / 2 };
+        chunk_size = if chunk_size == 1 { 0 } else { chunk_size / 2 };
     }
 }
 
-/// The smallest script found, as text.
-pub fn shrink(scene: &AnyScenario, seed: u64, base: Instant) -> String {
-    match scene {
-        AnyScenario::Gateways(scenario) => gateways(scenario, seed, base),
-        AnyScenario::Members(scenario) => members(scenario, seed, base),
+/// Shrinks the script of a seed. Returns the result as text: the rule, the seed, and the remaining faults and requests.
+pub fn shrink(scenario: &AnyScenario, seed: u64, base: Instant) -> String {
+    match scenario {
+        AnyScenario::Gateways(gateway_scenario) => {
+            shrink_gateway_script(gateway_scenario, seed, base)
+        }
+        AnyScenario::Members(member_scenario) => shrink_member_script(member_scenario, seed, base),
     }
 }
 
-fn members(scenario: &member_fleet::Scenario, seed: u64, base: Instant) -> String {
-    let whole = scenario.script(seed);
-    let breaks = |faults: &[_]| {
+fn shrink_member_script(scenario: &member_fleet::Scenario, seed: u64, base: Instant) -> String {
+    let full_script = scenario.script(seed);
+    let broken_rule = |faults: &[_]| {
         let script = member_fleet::Script {
-            members: whole.members,
+            members: full_script.members,
             faults: faults.to_vec(),
         };
         member_fleet::play(scenario, &script, seed, base, false)
             .broken
             .map(|b| b.rule)
     };
-    let mut faults = whole.faults.clone();
-    let Some(rule) = breaks(&faults) else {
+    let mut faults = full_script.faults.clone();
+    let Some(rule) = broken_rule(&faults) else {
         return "no rule breaks\n".into();
     };
-    drop_parts(&mut faults, &mut |less| breaks(less) == Some(rule));
+    remove_chunks(&mut faults, &mut |reduced| {
+        broken_rule(reduced) == Some(rule)
+    });
     let mut out = format!(
         "rule {rule} breaks with seed {seed}, {} members and these faults:\n",
-        whole.members
+        full_script.members
     );
     for (at, fault) in &faults {
         let _ = writeln!(out, "{:>9.1} {fault:?}", *at as f64 / 10.0);
@@ -63,41 +70,41 @@
     out
 }
 
-fn gateways(scenario: &Scenario, seed: u64, base: Instant) -> String {
+fn shrink_gateway_script(scenario: &Scenario, seed: u64, base: Instant) -> String {
     let mut script = scenario.script(seed);
-    let breaks = |script: &Script| {
+    let broken_rule = |script: &Script| {
         play(scenario, script, seed, base, false)
             .broken
             .map(|b| b.rule)
     };
-    let Some(rule) = breaks(&script) else {
+    let Some(rule) = broken_rule(&script) else {
         return "no rule breaks\n".into();
     };
     // Shrinking one list may let the other shrink further.
     for _ in 0..2 {
         let base_script = script.clone();
-        drop_parts(&mut script.faults, &mut |faults| {
-            breaks(&Script {
+        remove_chunks(&mut script.faults, &mut |faults| {
+            broken_rule(&Script {
                 faults: faults.to_vec(),
                 ..base_script.clone()
             }) == Some(rule)
         });
         let base_script = script.clone();
-        drop_parts(&mut script.requests, &mut |requests| {
-            breaks(&Script {
+        remove_chunks(&mut script.requests, &mut |requests| {
+            broken_rule(&Script {
                 requests: requests.to_vec(),
                 ..base_script.clone()
             }) == Some(rule)
         });
     }
-    let mut out = format!("rule {rule} breaks with seed {seed} and this much of its script:\n");
+    let mut out = format!("rule {rule} breaks with seed {seed} and this part of its script:\n");
     for (at, fault) in &script.faults {
         let _ = writeln!(out, "{:>9.1} {fault:?}", *at as f64 / 10.0);
     }
     for request in &script.requests {
         let _ = writeln!(
             out,
-            "{:>9.1} client {} asks {:?} of set {}",
+            "{:>9.1} client {} sends {:?} to set {}",
             request.at as f64 / 10.0,
             request.client,
             request.class,
