--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -268,7 +268,7 @@
         }
     }
     if let Some((seed, _)) = broken.first() {
-        eprintln!("replay it: leverpoint-simulator replay --scenario {name} --seed {seed}");
+        eprintln!("replay with: leverpoint-simulator replay --scenario {name} --seed {seed}");
     }
     if let Some(file) = each
         && let Err(e) = std::fs::write(file, compare::results_csv(&played))
@@ -292,7 +292,10 @@
         };
         let later_events: Vec<_> = MEANINGS.iter().filter_map(describe).collect();
         if !later_events.is_empty() {
-            eprintln!("{name} on one instant before: {}", later_events.join(", "));
+            eprintln!(
+                "{name} first, at the same instant as: {}",
+                later_events.join(", ")
+            );
         }
     }
     let summary = RunSummary {
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -1,4 +1,5 @@
-//! Seeds of every scenario keep every rule, and one seed always gives the same trace.
+//! Runs of a few seeds of every scenario, which must break no rule and be reproducible, and tests of the checker and of the
+//! cluster model that the simulator uses.
 
 use leverpoint_cluster_model::endpoint_list::{EndpointList, Phase};
 use leverpoint_cluster_model::replica_set::{
@@ -12,7 +13,7 @@
 use leverpoint_test_support::values::expected_value;
 
 #[test]
-fn every_scenario_keeps_every_rule_over_ten_seeds() {
+fn no_rule_breaks_in_ten_seeds_of_every_gateway_scenario() {
     let base = Instant::now();
     for (name, scenario) in built_in_scenarios() {
         for seed in 0..10 {
@@ -30,11 +31,11 @@
 }
 
 #[test]
-fn fleets_keep_their_rules_over_ten_seeds_and_one_seed_gives_one_trace() {
+fn no_rule_breaks_in_ten_seeds_of_every_membership_scenario_and_traces_are_reproducible() {
     let base = Instant::now();
-    for (name, scene) in scenarios::built_in().filter(|(name, _)| name.starts_with("members")) {
+    for (name, scenario) in scenarios::built_in().filter(|(name, _)| name.starts_with("members")) {
         for seed in 0..10 {
-            let played = scene.play(seed, base, false);
+            let played = scenario.play(seed, base, false);
             assert_eq!(
                 played.broken, None,
                 "leverpoint-simulator replay --scenario {name} --seed {seed}"
@@ -45,18 +46,18 @@
             );
         }
         assert_eq!(
-            scene.play(3, base, true).trace,
-            scene.play(3, base, true).trace
+            scenario.play(3, base, true).trace,
+            scenario.play(3, base, true).trace
         );
     }
 }
 
 #[test]
-fn what_is_copied_is_there_and_one_seed_gives_one_trace() {
+fn no_rule_breaks_in_replication_scenarios_and_traces_are_reproducible() {
     let base = Instant::now();
-    for (name, scene) in scenarios::built_in().filter(|(name, _)| name.starts_with("copies")) {
-        // A seed takes seconds without optimisation: .ci/run plays many with it.
-        let played = scene.play(1, base, false);
+    for (name, scenario) in scenarios::built_in().filter(|(name, _)| name.starts_with("copies")) {
+        // One seed takes seconds in an unoptimised build; .ci/run runs many seeds in a release build.
+        let played = scenario.play(1, base, false);
         assert_eq!(
             played.broken, None,
             "leverpoint-simulator replay --scenario {name} --seed 1"
@@ -73,23 +74,24 @@
     );
 }
 
-/// Two members go by different layouts of one version.
+/// Regression test: at this seed two members came to use different layouts of the same version.
 #[test]
-fn copies_layout_keeps_every_rule_at_seed_220() {
-    let scene = scenarios::load("copies-layout").unwrap();
-    let played = scene.play(220, Instant::now(), false);
+fn members_use_one_layout_of_each_version_at_seed_220_of_copies_layout() {
+    let scenario = scenarios::load("copies-layout").unwrap();
+    let played = scenario.play(220, Instant::now(), false);
     assert_eq!(
         played.broken, None,
         "leverpoint-simulator replay --scenario copies-layout --seed 220"
     );
 }
 
-/// A session's read went to a replica without a check of its own before the position of its write was known.
+/// Regression test: a session's read was sent to a replica that does not check its position, before the position of the
+/// session's preceding write was known.
 #[test]
-fn lists_lie_keeps_every_rule_at_seeds_with_a_read_right_behind_a_write() {
-    let scene = scenarios::load("lists-lie").unwrap();
+fn reads_right_after_a_write_in_a_session_are_not_stale_at_seeds_of_lists_lie() {
+    let scenario = scenarios::load("lists-lie").unwrap();
     for seed in [22518, 28520, 34367] {
-        let played = scene.play(seed, Instant::now(), false);
+        let played = scenario.play(seed, Instant::now(), false);
         assert_eq!(
             played.broken, None,
             "leverpoint-simulator replay --scenario lists-lie --seed {seed}"
@@ -98,9 +100,9 @@
 }
 
 #[test]
-fn one_seed_gives_one_trace_whenever_it_is_played() {
+fn a_seed_gives_the_same_trace_and_digest_on_every_run() {
     let scenario = load_scenario("round-close").unwrap();
-    let of = |seed, traced| {
+    let run_seed = |seed, traced| {
         play(
             &scenario,
             &scenario.script(seed),
@@ -109,36 +111,40 @@
             traced,
         )
     };
-    let (one, two) = (of(5, true), of(5, true));
-    assert!(one.trace.len() > 500);
-    assert_eq!(one.trace, two.trace);
-    assert_eq!(one.digest, of(5, false).digest);
-    assert_ne!(one.digest, of(6, false).digest);
+    let (first_run, second_run) = (run_seed(5, true), run_seed(5, true));
+    assert!(first_run.trace.len() > 500);
+    assert_eq!(first_run.trace, second_run.trace);
+    assert_eq!(first_run.digest, run_seed(5, false).digest);
+    assert_ne!(first_run.digest, run_seed(6, false).digest);
 }
 
 #[test]
-fn the_first_lines_of_a_trace_read_like_this() {
+fn trace_lines_of_faults_sets_and_gateways_match_the_snapshot() {
     let scenario = load_scenario("failover").unwrap();
     let played = play(&scenario, &scenario.script(3), 3, Instant::now(), true);
-    let of = |what: &str| {
+    let lines_with = |text: &str| {
         played
             .trace
             .iter()
-            .filter(|line| line.contains(what))
+            .filter(|line| line.contains(text))
             .take(12)
             .cloned()
             .collect::<Vec<_>>()
     };
     insta::assert_snapshot!(
-        [of(" fault "), of(" set "), of(" gateway ")]
-            .concat()
-            .join("\n")
+        [
+            lines_with(" fault "),
+            lines_with(" set "),
+            lines_with(" gateway ")
+        ]
+        .concat()
+        .join("\n")
     );
 }
 
-/// What the checker says to short courses, each a broken rule or none.
+/// Feeds the checker short sequences of events, each of which breaks one rule or none.
 #[test]
-fn the_checker_knows_each_broken_rule() {
+fn checker_reports_each_broken_rule() {
     let checker = || {
         let mut checker = Checker::new(20_000, 5_000, 10);
         checker.sent(0, "a", 0, Effects::Mutating, 10_000, 64, None);
@@ -146,8 +152,8 @@
         checker.sent(0, "r", 0, Effects::Replayable, 10_000, 64, Some(500));
         checker
     };
-    type Course = fn(&mut Checker);
-    let courses: [(&str, Course); 14] = [
+    type EventSequence = fn(&mut Checker);
+    let sequences: [(&str, EventSequence); 14] = [
         ("answered with what was made", |c| {
             c.came(5, "a", 0, 1);
             c.came_to(9, "a", 1, Outcome::MayHave, true);
@@ -201,20 +207,20 @@
         ("a cold machine pushed over", |c| c.fell(900, 3)),
     ];
     let mut out = String::new();
-    for (what, course) in courses {
+    for (label, sequence) in sequences {
         let mut checker = checker();
-        course(&mut checker);
-        let said = checker.broken.map_or("kept".to_owned(), |b| {
+        sequence(&mut checker);
+        let result = checker.broken.map_or("kept".to_owned(), |b| {
             format!("rule {}, {}", b.rule, b.what)
         });
-        out += &format!("{what}: {said}\n");
+        out += &format!("{label}: {result}\n");
     }
     insta::assert_snapshot!(out);
 }
 
 #[test]
-fn a_set_drops_repeats_refuses_what_is_behind_and_elects_who_has_applied_most() {
-    let build = ReplicaSetConfig {
+fn replica_set_drops_duplicates_rejects_stale_reads_and_elects_the_most_advanced_replica() {
+    let config = ReplicaSetConfig {
         slots: 2,
         queue_capacity: 1,
         replication_lag: 100,
@@ -226,16 +232,16 @@
         overload_window: 300,
         typical_work: 200,
     };
-    let mut set = ReplicaSet::new(build, 3);
+    let mut set = ReplicaSet::new(config, 3);
     let keyed = Statement {
         is_write: true,
         idempotency_key: Some("k"),
         required_position: None,
     };
-    let read = |owed| Statement {
+    let read_requiring = |position| Statement {
         is_write: false,
         idempotency_key: None,
-        required_position: owed,
+        required_position: position,
     };
     let mut out = vec![
         format!("{:?}", set.complete(10, 0, &keyed)),
@@ -244,11 +250,17 @@
         format!("at a replica {:?}", set.complete(1_500, 1, &keyed)),
         format!(
             "old enough {:?}",
-            set.complete(1_500, 1, &read(Some(1_400)))
+            set.complete(1_500, 1, &read_requiring(Some(1_400)))
+        ),
+        format!(
+            "too young {:?}",
+            set.complete(1_500, 1, &read_requiring(Some(1_401)))
         ),
-        format!("too young {:?}", set.complete(1_500, 1, &read(Some(1_401)))),
     ];
-    assert_eq!(set.complete(1_500, 1, &read(Some(1_401))).0, Reply::Behind);
+    assert_eq!(
+        set.complete(1_500, 1, &read_requiring(Some(1_401))).0,
+        Reply::Behind
+    );
     set.pause_replay(1_600, 1, true);
     set.set_health(1_700, 0, Health::Down);
     assert_eq!(set.elect(2_199), None);
@@ -271,17 +283,17 @@
 }
 
 #[test]
-fn a_list_tells_what_has_changed_since_a_revision_and_nothing_early() {
+fn endpoint_list_reports_changes_since_a_revision_and_publishes_none_early() {
     let mut list = EndpointList::default();
     (0..3).for_each(|m| list.schedule_change(0, m, 0, Phase::Up, m == 0, 0));
     assert!(list.publish_due(0));
-    let held = list.revision();
+    let known_revision = list.revision();
     list.schedule_change(50, 1, 0, Phase::Draining, false, 0);
     list.schedule_change(90, 2, 0, Phase::Removed, false, 0);
     assert!(!list.publish_due(49) && list.next_publication_at() == Some(50));
     assert!(list.publish_due(90));
     let changed: Vec<_> = list
-        .changed_since(Some(held))
+        .changed_since(Some(known_revision))
         .map(|e| (e.server, e.phase))
         .collect();
     assert_eq!(changed, [(1, Phase::Draining), (2, Phase::Removed)]);
@@ -296,9 +308,9 @@
 #[cfg(feature = "plants")]
 #[test]
 fn every_planted_fault_is_found() {
-    for (plant, scenario, found) in
+    for (fault, scenario, detection) in
         leverpoint_simulator::planted_faults::find_all(200, Instant::now())
     {
-        assert!(found.is_some(), "{plant} is not found by {scenario}");
+        assert!(detection.is_some(), "{fault} is not found by {scenario}");
     }
 }
