--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -15,8 +15,8 @@
 use leverpoint_test_support::wire::{STARTUP_MESSAGE, put_message, query_message};
 
 use crate::checker::{FinalResponse, Idempotency};
+use crate::gateway_script::{RequestClass, ScriptedRequest};
 use crate::run_context::{ClassProfile, NETWORK_LATENCY, RunContext, address, class_profile};
-use crate::script::{Ask, Group};
 use crate::simulation::EventSource;
 use crate::wire_stream::WireStream;
 
@@ -24,13 +24,18 @@
     /// Runs one client: sends its requests in order, each over its present connection.
     ///
     /// A slow client reads 64 bytes at a time.
-    pub(crate) async fn run_client(self: Rc<Self>, n: usize, requests: Vec<Ask>, slow: bool) {
+    pub(crate) async fn run_client(
+        self: Rc<Self>,
+        n: usize,
+        requests: Vec<ScriptedRequest>,
+        slow: bool,
+    ) {
         let mut gateway = n % self.scenario.gateways;
         let mut open_connection: Option<(WireStream, u64)> = None;
         let max_read = if slow { 64 } else { usize::MAX };
         for request in requests {
             sleep_until(self.sim.instant_at(request.at)).await;
-            let class = class_profile(request.group);
+            let class = class_profile(request.class);
             self.possible_benefit
                 .set(self.possible_benefit.get() + class.benefit);
             let deadline = self.now() + class.timeout;
@@ -95,7 +100,7 @@
                     value_length,
                     required_position,
                 );
-                if self.scenario.sessions && request.group == Group::Own {
+                if self.scenario.sessions && request.class == RequestClass::Own {
                     let write_position = self.last_writes.borrow().get(&n).map(|(at, ..)| *at);
                     self.checker
                         .borrow_mut()
@@ -163,7 +168,7 @@
                         if let Some(token) = notice_detail(&response) {
                             self.session_tokens.borrow_mut().insert(n, token);
                         }
-                        if matches!(request.group, Group::Report | Group::Order) {
+                        if matches!(request.class, RequestClass::Report | RequestClass::Order) {
                             // A later read of the session through the same incarnation of the gateway has to reach
                             // this position: only the time of sending, as the commit came after it.
                             self.last_writes
@@ -192,7 +197,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn build_statement(
         &self,
-        request: &Ask,
+        request: &ScriptedRequest,
         class: &ClassProfile,
         client: usize,
         id: &str,
@@ -213,8 +218,8 @@
         if is_retry {
             comment += ",r=1";
         }
-        if matches!(request.group, Group::Report | Group::Order) {
-            if request.group == Group::Report {
+        if matches!(request.class, RequestClass::Report | RequestClass::Order) {
+            if request.class == RequestClass::Report {
                 comment += &format!(",k={idempotency_key}");
             }
             let sql = format!(
@@ -222,7 +227,7 @@
             );
             return (sql, 64, None);
         }
-        if request.group == Group::Own
+        if request.class == RequestClass::Own
             && let Some(token) = self.session_tokens.borrow().get(&client)
         {
             // One read in three carries its session token, one in twelve a forged token, the others none.
@@ -232,9 +237,9 @@
                 _ => {}
             }
         }
-        let required_position = match request.group {
-            Group::Board => Some(self.now() - 30_000),
-            Group::Own => {
+        let required_position = match request.class {
+            RequestClass::Board => Some(self.now() - 30_000),
+            RequestClass::Own => {
                 let last_writes = self.last_writes.borrow();
                 let last_write = last_writes
                     .get(&client)
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -14,12 +14,12 @@
 use tokio::sync::Notify;
 
 use crate::checker::Checker;
+use crate::gateway_script::{Fault, Scenario, Script};
 use crate::outcome::RunOutcome;
 use crate::run_context::{
     CLIENT_PROCESS, Cluster, DEDUPLICATION_WINDOW, DRAIN_GRACE, MAX_RUN_TIME, NETWORK_LATENCY,
     REPLICA_SET_CONFIG, RunContext, SERVER_START_DELAY, SETTLING_TIME,
 };
-use crate::script::{Fault, Scenario, Script};
 use crate::simulation::{EventSource, GatewayEvent, ProcessId, Role, Simulation};
 
 impl RunContext {
@@ -41,12 +41,12 @@
             .record(EventSource::Fault, fault, || format!("{fault:?}"));
         let now = self.now();
         match fault {
-            Fault::GatewayDies(n) => self.kill_gateway(n),
-            Fault::GatewayReturns(n) => {
+            Fault::GatewayCrashes(n) => self.kill_gateway(n),
+            Fault::GatewayStarts(n) => {
                 self.kill_gateway(n);
                 self.start_gateway(n);
             }
-            Fault::GatewayStops(n) => {
+            Fault::GatewayShutsDown(n) => {
                 let gateway = self.gateways.borrow()[n].clone();
                 if let Some(gateway) = gateway {
                     let process = self.gateway_process(n);
@@ -54,22 +54,22 @@
                         .spawn_in(process, Box::pin(async move { gateway.shut_down().await }));
                 }
             }
-            Fault::GatewayRereads(n, on) => {
+            Fault::GatewayReloads(n, on) => {
                 self.cluster.agent_at_second_address.borrow_mut()[n] = on;
                 let gateway = self.gateways.borrow()[n].clone();
                 gateway
                     .into_iter()
                     .for_each(|gateway| gateway.apply_configuration(Ok(self.node_config(n, on))));
             }
-            Fault::Silent(m, isolated) => {
+            Fault::ServerUnreachable(m, isolated) => {
                 self.set_health(m, if isolated { Health::Silent } else { Health::Up });
                 self.sim.set_isolated(self.server_process(m), isolated);
             }
-            Fault::MachineDies(m) => {
+            Fault::ServerCrashes(m) => {
                 self.set_health(m, Health::Down);
                 self.sim.kill(self.server_process(m));
             }
-            Fault::MachineReturns(m) => {
+            Fault::ServerStarts(m) => {
                 // A server is listed when its process starts, and accepts connections a moment later.
                 self.set_health(m, Health::Up);
                 self.sim.start_process(self.server_process(m), Role::Server);
@@ -81,17 +81,17 @@
                 };
                 self.sim.spawn_in(self.server_process(m), Box::pin(start));
             }
-            Fault::Drains(m, on) => {
+            Fault::ServerDrains(m, on) => {
                 let (set, member) = self.set_and_member(m);
                 self.cluster.replica_sets.borrow_mut()[set].drain(member, on);
                 self.publish_after_delay(now, m, if on { Phase::Draining } else { Phase::Up });
             }
-            Fault::Lags(m, on) => {
+            Fault::ReplicaLags(m, on) => {
                 let (set, member) = self.set_and_member(m);
                 self.cluster.replica_sets.borrow_mut()[set].pause_replay(now, member, on);
             }
-            Fault::Spoils(m, on) => self.cluster.corrupts_responses.borrow_mut()[m] = on,
-            Fault::Resets(m) => {
+            Fault::RepliesCorrupted(m, on) => self.cluster.corrupts_responses.borrow_mut()[m] = on,
+            Fault::ConnectionsReset(m) => {
                 // All its connections are reset; the host stays up.
                 let process = self.server_process(m);
                 if self.sim.is_alive(process) {
@@ -103,7 +103,7 @@
                         .spawn_in(process, Box::pin(self.clone().run_server(m)));
                 }
             }
-            Fault::HandOver(m) => {
+            Fault::Switchover(m) => {
                 let (set, member) = self.set_and_member(m);
                 let old_primary = self.cluster.replica_sets.borrow()[set].primary();
                 if let Some(old_primary) = old_primary {
@@ -114,8 +114,8 @@
                 }
                 self.publish_after_delay(now, m, Phase::Up);
             }
-            Fault::AgentSilent(n, on) => self.set_agent_silent(n, on),
-            Fault::Lies(m, on) => {
+            Fault::AgentUnreachable(n, on) => self.set_agent_silent(n, on),
+            Fault::ListedAsGone(m, on) => {
                 self.publish_after_delay(now, m, if on { Phase::Removed } else { Phase::Up });
             }
             Fault::ClockSteps(n, off) => self.sim.set_clock_offset(self.gateway_process(n), off),
@@ -125,8 +125,8 @@
     /// The gateway that a fault reaches as a signal, and the event that it is there; `None` for other faults.
     fn signal_to_gateway(&self, fault: &Fault) -> Option<(ProcessId, GatewayEvent)> {
         match fault {
-            Fault::GatewayStops(n) => Some((self.gateway_process(*n), GatewayEvent::Shutdown)),
-            Fault::GatewayRereads(n, _) => Some((self.gateway_process(*n), GatewayEvent::Reload)),
+            Fault::GatewayShutsDown(n) => Some((self.gateway_process(*n), GatewayEvent::Shutdown)),
+            Fault::GatewayReloads(n, _) => Some((self.gateway_process(*n), GatewayEvent::Reload)),
             _ => None,
         }
     }
@@ -235,9 +235,9 @@
         }
         context.start_gateway(n);
     }
-    for (n, slow) in script.slow.iter().enumerate() {
+    for (n, slow) in script.slow_clients.iter().enumerate() {
         let requests = script
-            .asks
+            .requests
             .iter()
             .filter(|request| request.client == n)
             .copied()
--- a/crates/simulator/src/servers.rs
+++ b/crates/simulator/src/servers.rs
@@ -13,8 +13,8 @@
 use leverpoint_test_support::replica_set::{comment_value, encode_response, encode_status};
 
 use crate::checker::ExecutionStatus;
+use crate::gateway_script::RequestClass;
 use crate::run_context::{RunContext, address, class_profile};
-use crate::script::Group;
 use crate::simulation::{EventSource, START_UNIX_TIME};
 use crate::wire_stream::WireStream;
 
@@ -170,11 +170,11 @@
 /// Shortest and longest execution of a statement of this request class.
 fn execution_time_range(group: &str) -> (Ticks, Ticks) {
     let groups = [
-        Group::Board,
-        Group::Own,
-        Group::History,
-        Group::Report,
-        Group::Order,
+        RequestClass::Board,
+        RequestClass::Own,
+        RequestClass::History,
+        RequestClass::Report,
+        RequestClass::Order,
     ];
     groups
         .into_iter()
