--- a/crates/simulator/src/run_context.rs
+++ b/crates/simulator/src/run_context.rs
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 
 use crate::checker::{Checker, Idempotency};
-use crate::script::{Group, Scenario};
+use crate::gateway_script::{RequestClass, Scenario};
 use crate::simulation::{EventSource, ProcessId, Role, START_UNIX_TIME, Simulation};
 
 /// How long servers drop a retry with the same idempotency key; `keyTtlMs` in the settings.
@@ -87,7 +87,7 @@
 }
 
 /// The profile of a request class, in agreement with the settings of the gateways.
-pub(crate) fn class_profile(group: Group) -> ClassProfile {
+pub(crate) fn class_profile(class: RequestClass) -> ClassProfile {
     let profile =
         |name, effects, timeout, target, benefit, late_factor, execution_time| ClassProfile {
             name,
@@ -98,8 +98,8 @@
             late_factor,
             execution_time,
         };
-    match group {
-        Group::Board => profile(
+    match class {
+        RequestClass::Board => profile(
             "board",
             Idempotency::Idempotent,
             20_000,
@@ -108,7 +108,7 @@
             0.0,
             (100, 300),
         ),
-        Group::Own => profile(
+        RequestClass::Own => profile(
             "own",
             Idempotency::Idempotent,
             15_000,
@@ -117,7 +117,7 @@
             0.0,
             (80, 200),
         ),
-        Group::History => profile(
+        RequestClass::History => profile(
             "history",
             Idempotency::Idempotent,
             12_000,
@@ -126,7 +126,7 @@
             0.0,
             (100, 300),
         ),
-        Group::Report => profile(
+        RequestClass::Report => profile(
             "report",
             Idempotency::IdempotentByKey,
             20_000,
@@ -135,7 +135,7 @@
             0.3,
             (50, 150),
         ),
-        Group::Order => profile(
+        RequestClass::Order => profile(
             "order",
             Idempotency::NonIdempotent,
             20_000,
