--- a/crates/gateway/src/replication.rs
+++ b/crates/gateway/src/replication.rs
@@ -230,7 +230,7 @@
         ),
         ReplicationEvent::QuorumRestored => slog::info!(log, "replica holders reachable again"),
         ReplicationEvent::ReadInexact(cause) => {
-            slog::warn!(log, "session positions not known exactly; session reads require current replicas";
+            slog::warn!(log, "session positions not known exactly; session reads require the current position";
                 "why" => cause.as_str(),
                 "members" => cause.members().join(" "));
         }
