--- a/crates/backpressure/tests/backpressure.rs
+++ b/crates/backpressure/tests/backpressure.rs
@@ -94,7 +94,7 @@
     for _ in 0..12 {
         let trace = read_at_rate(&mut connections, id, now, 136 * KIB, |_| 9 * KIB);
         assert!(
-            !trace.contains("LetGo") && trace.contains("ended after"),
+            !trace.contains("Evict") && trace.contains("ended after"),
             "{trace}"
         );
         now += 200_000;
