--- a/crates/loadtest/src/replication_loss.rs
+++ b/crates/loadtest/src/replication_loss.rs
@@ -217,7 +217,7 @@
                 .log
                 .try_iter()
                 .chain(killed.log_lines.take())
-                .any(|l| l.contains("without a promise"));
+                .any(|l| l.contains("writes proceed without a quorum"));
             self.figures.quorum_writes += usize::from(!without_quorum);
             self.read_back(reader, &session, !without_quorum);
             let retried =
