--- a/crates/replication/src/layout_history.rs
+++ b/crates/replication/src/layout_history.rs
@@ -34,7 +34,7 @@
     incomplete: bool,
     /// Members that have adopted the newest layout and do not know the older ones either.
     unknown_to: BTreeSet<String>,
-    /// By member: its storage ID when it had transferred all records that were reassigned to this one.
+    /// By member: its storage id when it had transferred all records that were reassigned to this one.
     transferred: BTreeMap<String, u64>,
 }
 
@@ -204,7 +204,7 @@
         self.replica_sets(key).into_iter().flatten().collect()
     }
 
-    /// The replicas of a record on the member of this name, by all layouts in force: one per storage ID.
+    /// The replicas of a record on the member of this name, by all layouts in force: one per storage id.
     #[must_use]
     pub fn replicas_named(&self, key: RecordKey, name: &str) -> BTreeSet<ReplicaId> {
         let mut replicas = self.all_replicas(key);
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -256,7 +256,7 @@
         self.peers.get(name).map_or(0, |peer| peer.synced_version)
     }
 
-    /// The storage ID of a member's newest known incarnation; 0 if none is known.
+    /// The storage id of a member's newest known incarnation; 0 if none is known.
     pub(crate) fn storage_id(&self, name: &str) -> u64 {
         self.peers.get(name).map_or(0, |peer| peer.storage_id)
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A record is a value with a commutative, associative and idempotent merge ([`record`]). Its replicas follow from the
 //! agreed layouts in force ([`placement`], [`layout_history`]). A write is acknowledged once every later read quorum
-//! includes a replica that has it ([`write_quorum`]); a read counts a replica only with the storage ID by which the
+//! includes a replica that has it ([`write_quorum`]); a read counts a replica only with the storage id by which the
 //! layout names it ([`read_quorum`]). Leases show which members may be serving without a quorum. Whether a retry may
 //! be sent follows from all known attempts of its idempotency key ([`idempotency`]). [`Replicator`] combines these
 //! into the state machine of one member.
--- a/crates/replication/src/read_quorum.rs
+++ b/crates/replication/src/read_quorum.rs
@@ -2,7 +2,7 @@
 //!
 //! # Invariants
 //!
-//! A reply counts towards a quorum only if the replica has the storage ID by which the layout names it. A replica that
+//! A reply counts towards a quorum only if the replica has the storage id by which the layout names it. A replica that
 //! has lost its storage does not count as one without the record.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/replication/src/replicator.rs
+++ b/crates/replication/src/replicator.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The name, incarnation and storage ID of this member.
+    /// The name, incarnation and storage id of this member.
     #[must_use]
     pub fn local_member(&self) -> &LocalMember {
         &self.state.local
--- a/crates/replication/src/write_coordinator.rs
+++ b/crates/replication/src/write_coordinator.rs
@@ -187,7 +187,7 @@
         for queued in batch {
             let (id, key) = (queued.operation, queued.record.key);
             self.on_acknowledged(ctx, id, key, replica);
-            // A layout may name the member with another storage ID: that storage is lost.
+            // A layout may name the member with another storage id: that storage is lost.
             for stale in ctx.state.layout_history.replicas_named(key, &replica.name) {
                 if stale.storage_id != replica.storage_id {
                     self.on_rejected(ctx, id, key, &stale);
--- a/crates/replication/src/write_quorum.rs
+++ b/crates/replication/src/write_quorum.rs
@@ -222,7 +222,7 @@
         effect
     }
 
-    /// Counts a replica that has persisted the record; ignored if no layout in force names it with its storage ID.
+    /// Counts a replica that has persisted the record; ignored if no layout in force names it with its storage id.
     pub fn on_acknowledged(&mut self, replica: &ReplicaId) -> WriteQuorumEffect {
         if !self.layouts.iter().flatten().any(|other| other == replica) {
             return Nothing;
--- a/crates/replication/tests/layout_history.rs
+++ b/crates/replication/tests/layout_history.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// Guards against a member that counts as in sync although too few replicas of an older layout, with the storage IDs of
+/// Guards against a member that counts as in sync although too few replicas of an older layout, with the storage ids of
 /// that layout, have transferred their records.
 #[test]
 fn member_is_in_sync_once_enough_have_transferred_or_their_storage_is_lost() {
--- a/crates/replication/tests/write_quorum.rs
+++ b/crates/replication/tests/write_quorum.rs
@@ -143,7 +143,7 @@
         WriteQuorumEffect::SendToAll
     );
     assert_eq!(write.recipients().count(), 5);
-    // A quorum of the old layout, not of the new; then of both. A replica with another storage ID does not count.
+    // A quorum of the old layout, not of the new; then of both. A replica with another storage id does not count.
     assert_eq!(
         (
             write.on_acknowledged(&old[0]),
